--- a/src/main/java/merlinlever/common/config/ConfigFile.java
+++ b/src/main/java/merlinlever/common/config/ConfigFile.java
@@ -9,9 +9,8 @@
 import java.util.Map;
 
 /**
- * A configuration file that is valid: every value has the type and lies in the range that its schema states, so the
- * accessors here need not check again. Paths are keys and list indexes joined by dots, such as {@code zones.0.origin}.
- * Immutable.
+ * A valid configuration file: all values have the types and ranges required by the schema, so the accessors do not
+ * check them again. A path consists of keys and list indexes joined by dots, as in {@code zones.0.origin}. Immutable.
  */
 public final class ConfigFile {
 
@@ -28,7 +27,7 @@
     /**
      * Reads and validates a YAML file.
      *
-     * @throws InvalidConfigFileException with all faults of the file, each on a line with its place
+     * @throws InvalidConfigFileException with one line for each fault of the file
      */
     public static ConfigFile read(Path file, ConfigSchema schema) throws InvalidConfigFileException {
         YamlDocument document = YamlDocument.read(file);
@@ -36,7 +35,7 @@
         return new ConfigFile(file, document);
     }
 
-    /** The file as it was named to {@link #read}. */
+    /** Returns the path that was passed to {@link #read}. */
     public Path file() {
         return file;
     }
@@ -49,33 +48,33 @@
         return document.root().at(pointer(path));
     }
 
-    /** Whether there is a value other than null. */
+    /** Returns whether the path has a value other than null. */
     public boolean has(String path) {
         return !at(path).isMissingNode() && !at(path).isNull();
     }
 
-    /** The value as text, or the default where there is none. */
+    /** Returns the value as text, or the default if the path has no value. */
     public String text(String path, String defaultValue) {
         return has(path) ? at(path).asText() : defaultValue;
     }
 
-    /** The value as a whole number, or the default where there is none. */
+    /** Returns the value as an integer, or the default if the path has no value. */
     public long number(String path, long defaultValue) {
         return has(path) ? at(path).asLong() : defaultValue;
     }
 
-    /** A number with its unit, such as 250ms, 3s, 5m or 1h, or the default where there is none. */
+    /** Returns a duration such as 250ms, 3s, 5m or 1h, or the default if the path has no value. */
     public Duration duration(String path, Duration defaultValue) {
         if (!has(path)) {
             return defaultValue;
         }
         String text = at(path).asText();
-        int unitAt = 0;
-        while (unitAt < text.length() && Character.isDigit(text.charAt(unitAt))) {
-            unitAt++;
+        int unitStart = 0;
+        while (unitStart < text.length() && Character.isDigit(text.charAt(unitStart))) {
+            unitStart++;
         }
-        long count = Long.parseLong(text.substring(0, unitAt));
-        return switch (text.substring(unitAt)) {
+        long count = Long.parseLong(text.substring(0, unitStart));
+        return switch (text.substring(unitStart)) {
             case "ms" -> Duration.ofMillis(count);
             case "s" -> Duration.ofSeconds(count);
             case "m" -> Duration.ofMinutes(count);
@@ -83,35 +82,35 @@
         };
     }
 
-    /** A percentage such as 50% as a fraction from 0 to 1, or the default where there is none. */
+    /** Returns a percentage such as 50% as a fraction from 0 to 1, or the default if the path has no value. */
     public double fraction(String path, double defaultValue) {
         return has(path) ? Double.parseDouble(at(path).asText().replace("%", "")) / PERCENT_PER_UNIT : defaultValue;
     }
 
-    /** A path of the file system; a relative one is resolved against the folder of this file. */
+    /** Returns a path of the file system; relative paths are resolved against the directory of this file. */
     public Path path(String path, String defaultValue) {
-        Path folder = file.toAbsolutePath().getParent();
-        return folder.resolve(text(path, defaultValue)).normalize();
+        Path directory = file.toAbsolutePath().getParent();
+        return directory.resolve(text(path, defaultValue)).normalize();
     }
 
-    /** The number of elements of a list or of keys of a mapping, 0 where there is none. */
+    /** Returns the number of elements of a list or keys of a mapping, or 0 if the path has no value. */
     public int size(String path) {
         return has(path) ? at(path).size() : 0;
     }
 
-    /** The elements of a list as text, empty where there is none. */
+    /** Returns the elements of a list as text; empty if the path has no value. */
     public List<String> textList(String path) {
         List<String> texts = new ArrayList<>();
         at(path).forEach(element -> texts.add(element.asText()));
         return texts;
     }
 
-    /** The value as JSON text, {@code []} where there is none. */
+    /** Returns the value as JSON text, or {@code []} if the path has no value. */
     public String json(String path) {
         return has(path) ? at(path).toString() : "[]";
     }
 
-    /** The keys of a mapping with their values as text, in the order of the file. */
+    /** Returns the keys and values of a mapping as text, in the order of the file. */
     public Map<String, String> textMap(String path) {
         Map<String, String> map = new LinkedHashMap<>();
         at(path).properties()
@@ -119,13 +118,13 @@
         return map;
     }
 
-    /** A fault of one value that its schema cannot express, reported in the same form as a violation of the schema. */
+    /** Returns an exception for a fault that the schema cannot express, in the format of a schema violation. */
     public InvalidConfigFileException invalidValue(String path, String reason) {
         int line = document.line("/" + path.replace('.', '/'), 1);
         return new InvalidConfigFileException(file + ":" + line + ": " + path + ": " + reason);
     }
 
-    /** The same with what made the value unusable. */
+    /** Returns an exception as {@link #invalidValue(String, String)} does, with a cause. */
     public InvalidConfigFileException invalidValue(String path, String reason, Throwable cause) {
         InvalidConfigFileException fault = invalidValue(path, reason);
         fault.initCause(cause);
--- a/src/main/java/merlinlever/common/config/ConfigSchema.java
+++ b/src/main/java/merlinlever/common/config/ConfigSchema.java
@@ -9,15 +9,15 @@
 import java.util.stream.Collectors;
 import merlinlever.common.WireNamed;
 
-/** The JSON Schemas that configuration files are validated against; each is a resource of this program. */
+/** The JSON Schemas for configuration files, which are resources of the program. */
 public enum ConfigSchema implements WireNamed {
-    /** Of {@code zone serve}. */
+    /** The schema for {@code zone serve}. */
     ZONE_SERVE("zone-serve"),
-    /** Of {@code zone follow}. */
+    /** The schema for {@code zone follow}. */
     ZONE_FOLLOW("zone-follow"),
-    /** Of {@code host run}. */
+    /** The schema for {@code host run}. */
     HOST_RUN("host-run"),
-    /** Of {@code faults play}. */
+    /** The schema for {@code faults play}. */
     FAULTS("faults");
 
     private final String wireName;
@@ -26,30 +26,30 @@
         this.wireName = wireName;
     }
 
-    /** The name under which operators ask for the schema on the command line. */
+    /** Returns the name of the schema on the command line. */
     @Override
     public String wireName() {
         return wireName;
     }
 
-    /** The schema of that name on the command line, if there is one. */
+    /** Returns the schema with the given name on the command line, or empty if no schema has the name. */
     public static Optional<ConfigSchema> named(String wireName) {
         return Arrays.stream(values())
                 .filter(schema -> schema.wireName.equals(wireName))
                 .findFirst();
     }
 
-    /** All names as operators write them, separated by commas. */
+    /** Returns the names of all schemas on the command line, separated by commas. */
     public static String allNames() {
         return Arrays.stream(values()).map(ConfigSchema::wireName).collect(Collectors.joining(", "));
     }
 
-    /** The text of the schema, JSON Schema of draft 2020-12. */
+    /** Returns the text of the schema, in JSON Schema draft 2020-12. */
     public String text() {
         try (InputStream resource = ConfigSchema.class.getResourceAsStream("/schemas/" + wireName + ".json")) {
             return new String(resource.readAllBytes(), StandardCharsets.UTF_8);
         } catch (IOException e) {
-            throw new UncheckedIOException("schema " + wireName, e);
+            throw new UncheckedIOException("cannot read the schema " + wireName, e);
         }
     }
 }
--- a/src/main/java/merlinlever/common/config/InvalidConfigFileException.java
+++ b/src/main/java/merlinlever/common/config/InvalidConfigFileException.java
@@ -1,19 +1,19 @@
 package merlinlever.common.config;
 
 /**
- * A configuration file that cannot be used. The message is for the operator: one line for each fault, in the form
- * {@code FILE:LINE: reason}.
+ * Thrown if a configuration file is invalid. The message, which is shown to the operator, has one line for each fault,
+ * in the form {@code FILE:LINE: reason}.
  */
 public final class InvalidConfigFileException extends Exception {
 
     private static final long serialVersionUID = 1;
 
-    /** With the lines for the operator. */
+    /** Creates an exception whose message is shown to the operator. */
     public InvalidConfigFileException(String message) {
         super(message);
     }
 
-    /** With the lines for the operator and what made the file unusable. */
+    /** Creates an exception with a cause, whose message is shown to the operator. */
     public InvalidConfigFileException(String message, Throwable cause) {
         super(message, cause);
     }
--- a/src/main/java/merlinlever/common/config/SchemaValidator.java
+++ b/src/main/java/merlinlever/common/config/SchemaValidator.java
@@ -16,10 +16,7 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/**
- * Validates a document against its schema and describes each violation as one line for the operator, in the order of
- * the file.
- */
+/** Validates a document against a schema and describes each violation as one line, in the order of the file. */
 final class SchemaValidator {
 
     private static final int MAX_REPORTED_FAULTS = 50;
@@ -32,16 +29,16 @@
         try {
             schemaTree = new ObjectMapper().readTree(text);
         } catch (JsonProcessingException e) {
-            throw new UncheckedIOException("schema " + schema.wireName(), e);
+            throw new UncheckedIOException("cannot parse the schema " + schema.wireName(), e);
         }
         validator = SchemaRegistry.withDefaultDialect(SpecificationVersion.DRAFT_2020_12)
                 .getSchema(text, InputFormat.JSON);
     }
 
     /**
-     * Does nothing for a valid document.
+     * Validates a document.
      *
-     * @throws InvalidConfigFileException with one line for each violation, 50 at most
+     * @throws InvalidConfigFileException with one line for each violation, up to {@value #MAX_REPORTED_FAULTS} lines
      */
     void validate(Path file, YamlDocument document) throws InvalidConfigFileException {
         Map<Integer, List<String>> faultsByLine = new TreeMap<>();
@@ -67,32 +64,30 @@
     }
 
     private String describe(Error violation) {
-        JsonNode rule = schemaNode(violation);
-        String description = rule.path("description").asText("");
-        String remark = description.isEmpty() ? "" : " (" + description + ")";
+        JsonNode schema = schemaNode(violation);
+        String description = schema.path("description").asText("");
+        String suffix = description.isEmpty() ? "" : " (" + description + ")";
         return switch (String.valueOf(violation.getKeyword())) {
-            case "additionalProperties" -> "no key '" + violation.getProperty() + "' is known here; allowed are "
+            case "additionalProperties" -> "unknown key '" + violation.getProperty() + "'; allowed are "
                     + String.join(
                             ", ",
-                            rule.path("properties").properties().stream()
+                            schema.path("properties").properties().stream()
                                     .map(Map.Entry::getKey)
                                     .toList());
             case "required" -> "the key '" + violation.getProperty() + "' is missing";
-            case "pattern" -> "not of the form " + rule.path("pattern").asText() + remark;
-            default -> violation.getMessage().replaceFirst("^/[^:]*: ", "") + remark;
+            case "pattern" -> "does not match " + schema.path("pattern").asText() + suffix;
+            default -> violation.getMessage().replaceFirst("^/[^:]*: ", "") + suffix;
         };
     }
 
-    /**
-     * The part of the schema that holds the violated keyword; an empty object where its location cannot be followed.
-     */
+    /** Returns the schema node with the violated keyword, or an empty object if its location is not a JSON pointer. */
     private JsonNode schemaNode(Error violation) {
         String location = violation.getSchemaLocation().toString();
         String pointer = location.substring(location.indexOf('#') + 1);
-        int keywordAt = pointer.lastIndexOf('/');
-        if (keywordAt < 0 || (keywordAt > 0 && pointer.charAt(0) != '/')) {
+        int keywordStart = pointer.lastIndexOf('/');
+        if (keywordStart < 0 || (keywordStart > 0 && pointer.charAt(0) != '/')) {
             return JsonNodeFactory.instance.objectNode();
         }
-        return schemaTree.at(pointer.substring(0, keywordAt));
+        return schemaTree.at(pointer.substring(0, keywordStart));
     }
 }
--- a/src/main/java/merlinlever/common/config/YamlDocument.java
+++ b/src/main/java/merlinlever/common/config/YamlDocument.java
@@ -28,15 +28,15 @@
 import org.yaml.snakeyaml.nodes.Tag;
 
 /**
- * A YAML file as a JSON tree, with the line on which each value stands, so that a fault found in the tree can be
- * reported at its place in the file. Size, nesting and aliases are bounded, as the file may come from anybody.
+ * A YAML file as a JSON tree, with the line number of each value, so that faults can be reported with their line. Size,
+ * nesting and aliases are bounded, as the file may be untrusted.
  */
 final class YamlDocument {
 
     private static final long MAX_FILE_BYTES = 1 << 20;
     private static final int MAX_ALIASES = 10;
     private static final int MAX_DEPTH = 20;
-    private static final List<String> TRUE_WORDS = List.of("true", "yes", "on");
+    private static final List<String> TRUE_LITERALS = List.of("true", "yes", "on");
 
     private final Path file;
     private final Map<String, Integer> lineByPointer = new HashMap<>();
@@ -50,8 +50,8 @@
     /**
      * Reads a file.
      *
-     * @throws InvalidConfigFileException if it is no plain UTF-8 file of at most 1 MiB with one YAML document of unique
-     *     keys
+     * @throws InvalidConfigFileException if the file is not a regular UTF-8 file of at most 1 MiB that contains one
+     *     YAML document with unique keys
      */
     static YamlDocument read(Path file) throws InvalidConfigFileException {
         return new YamlDocument(file);
@@ -61,7 +61,7 @@
         return root;
     }
 
-    /** The line of the value, or of its key where it has one, by JSON pointer; empty pointer for the document. */
+    /** Returns the line of a value, or of its key in a mapping, by JSON pointer; the empty pointer is the document. */
     int line(String pointer, int defaultLine) {
         return lineByPointer.getOrDefault(pointer, defaultLine);
     }
@@ -69,11 +69,11 @@
     private static String readText(Path file) throws InvalidConfigFileException {
         try {
             if (!Files.isRegularFile(file)) {
-                String reason = Files.exists(file) ? "not a plain file" : "no such file";
+                String reason = Files.exists(file) ? "not a regular file" : "no such file";
                 throw new InvalidConfigFileException(file + ": " + reason);
             }
             if (Files.size(file) > MAX_FILE_BYTES) {
-                throw new InvalidConfigFileException(file + ": over " + MAX_FILE_BYTES + " bytes");
+                throw new InvalidConfigFileException(file + ": larger than " + MAX_FILE_BYTES + " bytes");
             }
             return StandardCharsets.UTF_8
                     .newDecoder()
@@ -94,14 +94,14 @@
         try {
             Node node = new Yaml(new SafeConstructor(bounds)).compose(new StringReader(text));
             if (node == null) {
-                throw fault(1, "nothing in it");
+                throw fault(1, "the file is empty");
             }
             return toJson(node, "", 0);
         } catch (MarkedYAMLException e) {
             int line = e.getProblemMark() == null ? 1 : e.getProblemMark().getLine() + 1;
             throw new InvalidConfigFileException(file + ":" + line + ": " + e.getProblem(), e);
         } catch (YAMLException e) {
-            String reason = e.getMessage().lines().findFirst().orElse("not YAML");
+            String reason = e.getMessage().lines().findFirst().orElse("invalid YAML");
             throw new InvalidConfigFileException(file + ":1: " + reason, e);
         }
     }
@@ -117,7 +117,7 @@
             throw fault(line, "nested too deeply");
         }
         if (node instanceof MappingNode mapping) {
-            return objectOf(mapping, pointer, depth);
+            return toJsonObject(mapping, pointer, depth);
         }
         if (node instanceof SequenceNode sequence) {
             ArrayNode array = JsonNodeFactory.instance.arrayNode();
@@ -126,19 +126,19 @@
             }
             return array;
         }
-        return scalarOf((ScalarNode) node);
+        return toJsonScalar((ScalarNode) node);
     }
 
-    private ObjectNode objectOf(MappingNode mapping, String pointer, int depth) throws InvalidConfigFileException {
+    private ObjectNode toJsonObject(MappingNode mapping, String pointer, int depth) throws InvalidConfigFileException {
         ObjectNode object = JsonNodeFactory.instance.objectNode();
         for (NodeTuple pair : mapping.getValue()) {
             int line = pair.getKeyNode().getStartMark().getLine() + 1;
             if (!(pair.getKeyNode() instanceof ScalarNode keyNode)) {
-                throw fault(line, "a key is one word");
+                throw fault(line, "a key must be a scalar");
             }
             String key = keyNode.getValue();
             if (object.has(key)) {
-                throw fault(line, "the key '" + key + "' comes twice");
+                throw fault(line, "duplicate key '" + key + "'");
             }
             String valuePointer = pointer + "/" + key;
             lineByPointer.put(valuePointer, line);
@@ -147,8 +147,8 @@
         return object;
     }
 
-    /** A number that does not fit its type stays text, and fails the schema as such. */
-    private static JsonNode scalarOf(ScalarNode node) {
+    /** Converts a scalar; a number out of range becomes text, which the schema rejects. */
+    private static JsonNode toJsonScalar(ScalarNode node) {
         JsonNodeFactory factory = JsonNodeFactory.instance;
         String value = node.getValue();
         Tag tag = node.getTag();
@@ -163,7 +163,7 @@
             return factory.textNode(value);
         }
         if (tag.equals(Tag.BOOL)) {
-            return factory.booleanNode(TRUE_WORDS.contains(value.toLowerCase(Locale.ROOT)));
+            return factory.booleanNode(TRUE_LITERALS.contains(value.toLowerCase(Locale.ROOT)));
         }
         return tag.equals(Tag.NULL) ? factory.nullNode() : factory.textNode(value);
     }
--- a/src/main/java/merlinlever/common/log/LogEvent.java
+++ b/src/main/java/merlinlever/common/log/LogEvent.java
@@ -4,8 +4,8 @@
 import java.util.List;
 
 /**
- * A log event: its level, its name in kebab-case and its fields in order. Immutable; {@link #with} returns a copy with one
- * more field:
+ * A log event: a level, a name in kebab-case and an ordered list of fields. Immutable; {@link #with} returns a copy
+ * with one more field:
  *
  * <pre>{@code
  * log.write(LogEvent.warn("agent-link-lost").with("reason", reason).with("last_offset", offset));
--- a/src/test/java/merlinlever/architecture/LayersTest.java
+++ b/src/test/java/merlinlever/architecture/LayersTest.java
@@ -16,12 +16,12 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** The layers of docs/architecture.md: which package may use which, and which do no input or output. */
+/** Checks the dependencies between packages as documented in docs/architecture.md, and which packages do I/O. */
 class LayersTest {
 
     private static final String ROOT = "merlinlever";
 
-    /** Packages that decide or hold state in memory; only what their arguments say happens in them. */
+    /** Packages with pure decisions or in-memory state, whose results depend only on their arguments. */
     private static final String[] DECISION_PACKAGES = {
         ROOT + ".controller..",
         ROOT + ".policy..",
@@ -45,7 +45,7 @@
             .importPackages(ROOT);
 
     @Test
-    void arrowsPointDownwardsOnly() {
+    void layersOnlyDependOnLowerLayers() {
         layeredArchitecture()
                 .consideringOnlyDependenciesInLayers()
                 .layer("cli")
@@ -114,23 +114,23 @@
     }
 
     @Test
-    void noPackagesDependOnEachOtherInACircle() {
+    void packagesHaveNoCyclicDependencies() {
         slices().matching(ROOT + ".(**)").should().beFreeOfCycles().check(PROGRAM);
     }
 
     @Test
-    void decisionPackagesDoNoInputOrOutput() {
+    void decisionPackagesDoNoIo() {
         noClasses()
                 .that(resideInAnyPackage(DECISION_PACKAGES))
                 .should()
                 .dependOnClassesThat(resideInAnyPackage("java.net..", "java.nio.channels..", "java.nio.file.."))
                 .orShould()
-                .dependOnClassesThat(isStreamOfTheOperatingSystem())
+                .dependOnClassesThat(isOperatingSystemStream())
                 .check(PROGRAM);
     }
 
     @Test
-    void decisionPackagesHaveNoThreadAndNoClock() {
+    void decisionPackagesUseNoThreadAndNoClock() {
         noClasses()
                 .that(resideInAnyPackage(DECISION_PACKAGES))
                 .should()
@@ -139,12 +139,12 @@
                 .orShould()
                 .dependOnClassesThat(resideInAnyPackage("java.util.concurrent.."))
                 .orShould()
-                .accessTargetWhere(isReadingOfTheClock())
+                .accessTargetWhere(isClockReading())
                 .check(PROGRAM);
     }
 
     @Test
-    void whatServesNeverUsesTheTestTools() {
+    void onlyTheCommandLineUsesTheTestingPackage() {
         noClasses()
                 .that()
                 .resideOutsideOfPackages(ROOT + ".testing..", ROOT + ".cli..")
@@ -154,17 +154,17 @@
     }
 
     @Test
-    void theImportSeesTheProgram() {
+    void theProgramIsImportedCompletely() {
         assertTrue(PROGRAM.size() > 500, PROGRAM.size() + " classes");
         for (String decisionPackage : DECISION_PACKAGES) {
             assertTrue(PROGRAM.stream().anyMatch(resideInAnyPackage(decisionPackage)), decisionPackage + " is empty");
         }
     }
 
-    /** Streams of java.io reach files and sockets; those over byte arrays in memory do not. */
-    private static DescribedPredicate<JavaClass> isStreamOfTheOperatingSystem() {
+    /** Matches java.io streams that may access files or sockets; in-memory streams are excluded. */
+    private static DescribedPredicate<JavaClass> isOperatingSystemStream() {
         Set<String> inMemory = Set.of("ByteArrayInputStream", "ByteArrayOutputStream", "StringReader", "StringWriter");
-        return new DescribedPredicate<>("streams of java.io over anything but memory") {
+        return new DescribedPredicate<>("java.io streams that are not in memory") {
             @Override
             public boolean test(JavaClass type) {
                 String name = type.getSimpleName();
@@ -179,9 +179,9 @@
         };
     }
 
-    private static DescribedPredicate<JavaAccess<?>> isReadingOfTheClock() {
+    private static DescribedPredicate<JavaAccess<?>> isClockReading() {
         Set<String> clockMethods = Set.of("nanoTime", "currentTimeMillis", "now");
-        return new DescribedPredicate<>("reading of the time of day or of the monotonic clock") {
+        return new DescribedPredicate<>("reading the time of day or the monotonic clock") {
             @Override
             public boolean test(JavaAccess<?> access) {
                 String owner = access.getTargetOwner().getName();
--- a/src/test/java/merlinlever/ci/KnownRedTest.java
+++ b/src/test/java/merlinlever/ci/KnownRedTest.java
@@ -17,22 +17,24 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** CI passes over the tests that KNOWN-RED.txt lists, and over nothing else. Maven is a script here that notes how it is called. */
+/**
+ * Checks that CI excludes only the tests listed in KNOWN-RED.txt. A script that records its arguments replaces Maven.
+ */
 class KnownRedTest {
 
-    private static final String RED =
+    private static final String RED_TEST_LINE =
             "some.place.FirstTest.red | mvn test -Dtest=FirstTest, seed 7 | the link breaks | 36\n";
-    private static final String PLAIN = "-B -ntp verify";
+    private static final String VERIFY_ARGUMENTS = "-B -ntp verify";
 
-    private Path root;
+    private Path checkout;
 
-    /** How a script ended, and what it wrote. */
-    private record Ran(int status, List<String> out) {}
+    /** The exit status and the output lines of a script. */
+    private record ScriptResult(int exitStatus, List<String> output) {}
 
     @BeforeTry
     @BeforeEach
-    void layACheckout() throws IOException {
-        root = Files.createTempDirectory("known-red");
+    void createCheckout() throws IOException {
+        checkout = Files.createTempDirectory("known-red");
         for (String script : List.of("run", "known-red")) {
             write(".ci/" + script, Files.readString(Path.of(".ci", script)));
         }
@@ -83,75 +85,77 @@
                 #!/bin/sh
                 echo "$@" >> calls
                 [ ! -d target ] || cp target/known-red/excludes . 2>/dev/null
-                case "$*" in *verify*) echo 'Tests run: 9'; exit $(cat verdict);;
+                case "$*" in *verify*) echo 'Tests run: 9'; exit $(cat exit-status);;
                 *'#red '*) cp reports/* target/surefire-reports;; esac
                 exit 1
                 """);
-        write("verdict", "0");
-        Files.createDirectory(root.resolve("reports"));
+        write("exit-status", "0");
+        Files.createDirectory(checkout.resolve("reports"));
     }
 
     @AfterTry
     @AfterEach
-    void removeIt() {
-        TestDirectories.remove(root);
+    void deleteCheckout() {
+        TestDirectories.remove(checkout);
     }
 
-    /** Without a list CI is the README's command and has its status, and nothing is passed over. */
+    /** Without a list, CI runs the Maven command of the README alone, excludes no test and returns its exit status. */
     @Test
-    void withoutAListMavenRunsAlone() throws Exception {
-        write("verdict", "7");
-        assertEquals(7, run(".ci/run").status());
+    void withoutAListCiOnlyRunsMavenVerify() throws Exception {
+        write("exit-status", "7");
+        assertEquals(7, run(".ci/run").exitStatus());
         write("KNOWN-RED.txt", "");
-        assertEquals(7, run(".ci/run").status());
-        assertEquals(List.of(PLAIN, PLAIN), lines("calls"));
+        assertEquals(7, run(".ci/run").exitStatus());
+        assertEquals(List.of(VERIFY_ARGUMENTS, VERIFY_ARGUMENTS), lines("calls"));
     }
 
-    /** A listed test is told of and doesn't count; the others' counts come last and their status is CI's. */
+    /** A listed test is reported but does not count; the other tests run last and determine the exit status of CI. */
     @Test
-    void aListedTestRunsByItselfAndOnlyTheOthersCount() throws Exception {
+    void listedTestsRunSeparatelyAndDoNotDetermineTheExitStatus() throws Exception {
         write(
                 "KNOWN-RED.txt",
-                RED + "some.place.FirstTest.redder | mvn test, any seed | it hangs | issue 36\n"
-                        + "some.place.FirstTest.onOneLine | mvn test | mended, perhaps | #7");
+                RED_TEST_LINE + "some.place.FirstTest.redder | mvn test, any seed | it hangs | issue 36\n"
+                        + "some.place.FirstTest.onOneLine | mvn test | may be fixed | #7");
         write("reports/TEST-some.place.FirstTest-known-red.xml", "<testcase name=\"red\">\n<failure message=\"x\"/>\n");
-        Ran failed = run(".ci/run");
-        assertEquals(0, failed.status());
-        assertTrue(failed.out().contains("KNOWN RED some.place.FirstTest#red: failed"), failed.out()::toString);
+        ScriptResult failed = run(".ci/run");
+        assertEquals(0, failed.exitStatus());
+        assertTrue(failed.output().contains("KNOWN RED some.place.FirstTest#red: failed"), failed.output()::toString);
         assertTrue(
-                failed.out()
+                failed.output()
                         .contains(
                                 "some.place.FirstTest.red | mvn test -Dtest=FirstTest, seed 7 | the link breaks | 36"),
-                failed.out()::toString);
+                failed.output()::toString);
         List<String> calls = lines("calls");
         assertEquals(4, calls.size());
         assertTrue(calls.get(0).startsWith("-B -ntp test -Dtest=some.place.FirstTest#red "), calls.get(0));
-        assertTrue(calls.get(3).startsWith(PLAIN + " -Dsurefire.excludesFile="), calls.get(3));
+        assertTrue(calls.get(3).startsWith(VERIFY_ARGUMENTS + " -Dsurefire.excludesFile="), calls.get(3));
         assertEquals(
                 List.of("some.place.FirstTest#red", "some.place.FirstTest#redder", "some.place.FirstTest#onOneLine"),
                 lines("excludes"));
 
-        write("verdict", "3");
+        write("exit-status", "3");
         write("reports/TEST-some.place.FirstTest-known-red.xml", "<testcase name=\"red\"/>\n");
-        Ran passed = run(".ci/run");
-        assertEquals(3, passed.status(), "the others' verdict");
+        ScriptResult passed = run(".ci/run");
+        assertEquals(3, passed.exitStatus(), "the exit status of the other tests");
         assertTrue(
-                passed.out().contains("KNOWN RED some.place.FirstTest#red: passed, it may come off the list"),
-                passed.out()::toString);
+                passed.output().contains("KNOWN RED some.place.FirstTest#red: passed, it may come off the list"),
+                passed.output()::toString);
 
-        // One test's report is not taken for the next one's of its class.
-        assertTrue(passed.out().contains("KNOWN RED some.place.FirstTest#redder: no result"), passed.out()::toString);
+        // The report of a test must not be read as the report of the next test in the same class.
+        assertTrue(
+                passed.output().contains("KNOWN RED some.place.FirstTest#redder: no result"),
+                passed.output()::toString);
 
-        // Nor is it left among the reports of those that count.
-        write("KNOWN-RED.txt", RED);
-        assertEquals(3, run(".ci/run").status());
-        assertFalse(Files.exists(root.resolve("target/surefire-reports/TEST-some.place.FirstTest-known-red.xml")));
+        // The report must not remain among the reports of the tests that count.
+        write("KNOWN-RED.txt", RED_TEST_LINE);
+        assertEquals(3, run(".ci/run").exitStatus());
+        assertFalse(Files.exists(checkout.resolve("target/surefire-reports/TEST-some.place.FirstTest-known-red.xml")));
     }
 
-    /** Whatever is not a line of the form ends CI before Maven is asked. */
+    /** A malformed line ends CI before Maven is started. */
     @Test
-    void aListOfAnotherFormFails() throws Exception {
-        for (String wrong : List.of(
+    void aMalformedListFails() throws Exception {
+        for (String malformedList : List.of(
                 "\n",
                 "# why\n",
                 "some.place.FirstTest.red\n",
@@ -170,15 +174,15 @@
                 " some.place.FirstTest.red | mvn test | it breaks | 36\n",
                 "some.place.FirstTest.red | mvn test | it breaks | 36\r\n",
                 "some.place.FirstTest.red | mvn test | it " + "breaks ".repeat(50) + "| 36\n",
-                RED + "\n",
-                RED + RED)) {
-            refused(wrong);
+                RED_TEST_LINE + "\n",
+                RED_TEST_LINE + RED_TEST_LINE)) {
+            assertListRejected(malformedList);
         }
     }
 
-    /** A name that is no test would pass over nothing today, and over a test of that name once there is one. */
+    /** A name without a test would exclude any test that is given the name later. */
     @Test
-    void aTestThatDoesNotExistFails() throws Exception {
+    void aListedTestThatDoesNotExistFails() throws Exception {
         for (String name : List.of(
                 "SecondTest.red",
                 "FirstTest.green",
@@ -187,46 +191,47 @@
                 "FirstTest.within",
                 "Helper.red",
                 "MainTest.red")) {
-            refused("some.place." + name + " | mvn test | it breaks | 36\n");
+            assertListRejected("some.place." + name + " | mvn test | it breaks | 36\n");
         }
-        refused("other.place.FirstTest.red | mvn test | it breaks | 36\n");
+        assertListRejected("other.place.FirstTest.red | mvn test | it breaks | 36\n");
     }
 
-    /** Maven passes over all methods of a name: two of one name are refused, so that the second isn't passed over unseen. */
+    /** Maven excludes all methods with a name, so a name that two tests have would also exclude the second test. */
     @Test
-    void aNameThatTwoTestsHaveFails() throws Exception {
-        refused("some.place.FirstTest.twice | mvn test | it breaks | 36\n");
+    void anAmbiguousTestNameFails() throws Exception {
+        assertListRejected("some.place.FirstTest.twice | mvn test | it breaks | 36\n");
     }
 
-    private void refused(String list) throws Exception {
+    private void assertListRejected(String list) throws Exception {
         write("KNOWN-RED.txt", list);
-        Ran ran = run(".ci/run");
-        assertEquals(1, ran.status(), list);
-        assertEquals(1, ran.out().size(), list + ran.out());
-        assertTrue(ran.out().get(0).startsWith("KNOWN-RED.txt: "), list + ran.out());
-        assertFalse(Files.exists(root.resolve("calls")), list);
+        ScriptResult result = run(".ci/run");
+        assertEquals(1, result.exitStatus(), list);
+        assertEquals(1, result.output().size(), list + result.output());
+        assertTrue(result.output().get(0).startsWith("KNOWN-RED.txt: "), list + result.output());
+        assertFalse(Files.exists(checkout.resolve("calls")), list);
     }
 
-    private Ran run(String script) throws Exception {
-        ProcessBuilder builder = new ProcessBuilder(root.resolve(script).toString())
-                .directory(root.toFile())
+    private ScriptResult run(String script) throws Exception {
+        ProcessBuilder builder = new ProcessBuilder(checkout.resolve(script).toString())
+                .directory(checkout.toFile())
                 .redirectErrorStream(true);
-        builder.environment().merge("PATH", root.resolve("bin").toString(), (path, bin) -> bin + ":" + path);
-        Path out = root.resolve("out");
+        builder.environment()
+                .merge("PATH", checkout.resolve("bin").toString(), (path, binDirectory) -> binDirectory + ":" + path);
+        Path out = checkout.resolve("out");
         Process process = builder.redirectOutput(out.toFile()).start();
         if (!process.waitFor(30, TimeUnit.SECONDS)) {
             process.destroyForcibly();
-            throw new AssertionError(script + " doesn't end");
+            throw new AssertionError(script + " did not end within 30 s");
         }
-        return new Ran(process.exitValue(), lines("out"));
+        return new ScriptResult(process.exitValue(), lines("out"));
     }
 
     private List<String> lines(String file) throws IOException {
-        return Arrays.asList(Files.readString(root.resolve(file)).split("\n"));
+        return Arrays.asList(Files.readString(checkout.resolve(file)).split("\n"));
     }
 
     private void write(String file, String text) throws IOException {
-        Path path = root.resolve(file);
+        Path path = checkout.resolve(file);
         Files.createDirectories(path.getParent());
         Files.writeString(path, text);
         assertTrue(path.toFile().setExecutable(true));
--- a/src/test/java/merlinlever/common/config/ConfigFileTest.java
+++ b/src/test/java/merlinlever/common/config/ConfigFileTest.java
@@ -15,13 +15,13 @@
 class ConfigFileTest {
 
     @TempDir
-    Path folder;
+    Path directory;
 
     private Path write(String text) throws Exception {
-        return Files.writeString(folder.resolve("c.yaml"), text);
+        return Files.writeString(directory.resolve("c.yaml"), text);
     }
 
-    private static String faultsOf(Path file) {
+    private static String readFaults(Path file) {
         return assertThrows(InvalidConfigFileException.class, () -> ConfigFile.read(file, ConfigSchema.ZONE_SERVE))
                 .getMessage();
     }
@@ -38,39 +38,37 @@
                 """);
         ConfigFile config = ConfigFile.read(file, ConfigSchema.ZONE_SERVE);
         assertEquals(Duration.ofMillis(250), config.duration("stop", null));
-        assertEquals(folder.resolve("state"), config.path("state", ""));
+        assertEquals(directory.resolve("state"), config.path("state", ""));
         assertEquals(List.of("a.", "b."), config.textList("zones.0.update"));
         assertEquals(1, config.size("zones"));
     }
 
     @Test
-    void everyFaultIsOneLineWithItsPlace() throws Exception {
+    void everyFaultIsReportedOnOneLineWithItsLineNumber() throws Exception {
         Path file = write("listen: 127.0.0.1:0\nstate: 3\nkys: 4\nzones:\n  - {origin: a.}\nstop: 3 seconds\n");
-        String[] faults = faultsOf(file).split("\n");
+        String[] faults = readFaults(file).split("\n");
         assertEquals(4, faults.length);
         assertTrue(faults[0].startsWith(file + ":2: state: "), faults[0]);
-        assertTrue(
-                faults[1].startsWith(file + ":3: no key 'kys' is known here; allowed are listen, state, keys, "),
-                faults[1]);
+        assertTrue(faults[1].startsWith(file + ":3: unknown key 'kys'; allowed are listen, state, keys, "), faults[1]);
         assertEquals(file + ":5: zones.0: the key 'file' is missing", faults[2]);
         assertEquals(
-                file + ":6: stop: not of the form ^[0-9]{1,9}(ms|s|m)$ (from SIGTERM to the end at the latest)",
+                file + ":6: stop: does not match ^[0-9]{1,9}(ms|s|m)$ (from SIGTERM to the end at the latest)",
                 faults[3]);
     }
 
     @Test
-    void fileThatIsNoYamlHasOneFault() throws Exception {
+    void invalidYamlIsReportedAsOneFault() throws Exception {
         for (String text : new String[] {"listen: [", "", "a: 1\na: 2\n", "\t- x", "{{a: b}: c}"}) {
             Path file = write(text);
-            String fault = faultsOf(file);
+            String fault = readFaults(file);
             assertEquals(1, fault.lines().count(), fault);
             assertTrue(fault.matches(Pattern.quote(file.toString()) + ":[0-9]+: .*"), fault);
         }
-        assertThrows(InvalidConfigFileException.class, () -> ConfigFile.read(folder, ConfigSchema.ZONE_SERVE));
+        assertThrows(InvalidConfigFileException.class, () -> ConfigFile.read(directory, ConfigSchema.ZONE_SERVE));
     }
 
     @Test
-    void everySchemaHasItsText() {
+    void everySchemaHasAText() {
         assertEquals("zone-serve, zone-follow, host-run, faults", ConfigSchema.allNames());
         for (ConfigSchema schema : ConfigSchema.values()) {
             assertTrue(schema.text().contains("\"title\""), schema.wireName());
--- a/src/test/java/merlinlever/common/net/ConnectionRaceTest.java
+++ b/src/test/java/merlinlever/common/net/ConnectionRaceTest.java
@@ -114,8 +114,8 @@
                         throw new IllegalStateException("thrown by the test");
                     }
                 };
-                Connection connection =
-                        Connection.connect(loop, server.getLocalSocketAddress(), handler, 64, 64, Duration.ofSeconds(5));
+                Connection connection = Connection.connect(
+                        loop, server.getLocalSocketAddress(), handler, 64, 64, Duration.ofSeconds(5));
                 connection.write(ByteBuffer.wrap(new byte[] {1}));
                 loop.run();
                 assertEquals(List.of(CloseReason.HANDLER_FAILED), handler.closeReasons);
@@ -210,8 +210,8 @@
                     flushes[0]++;
                 }
             };
-            Connection connection =
-                    Connection.connect(loop, server.getLocalSocketAddress(), handler, 64, 16 << 20, Duration.ofSeconds(5));
+            Connection connection = Connection.connect(
+                    loop, server.getLocalSocketAddress(), handler, 64, 16 << 20, Duration.ofSeconds(5));
             byte[] sent = new byte[12 << 20];
             for (int i = 0; i < sent.length; i++) {
                 sent[i] = (byte) (i * 31 + i / 251);
@@ -320,8 +320,8 @@
         // The clock never advances, so the delay never ends.
         EventLoop loop = new EventLoop(new MonotonicClock(() -> 0, () -> 0), failures::add);
         int[] fullCalls = new int[1];
-        ConnectionAcceptor acceptor =
-                new ConnectionAcceptor(loop, new InetSocketAddress(LOOPBACK, 0), 4, channel -> {}, () -> fullCalls[0]++);
+        ConnectionAcceptor acceptor = new ConnectionAcceptor(
+                loop, new InetSocketAddress(LOOPBACK, 0), 4, channel -> {}, () -> fullCalls[0]++);
         // On a closed channel each accept fails, as with a full file descriptor table.
         Field field = ConnectionAcceptor.class.getDeclaredField("channel");
         field.setAccessible(true);
--- a/src/test/java/merlinlever/common/net/ConnectionTest.java
+++ b/src/test/java/merlinlever/common/net/ConnectionTest.java
@@ -77,7 +77,8 @@
                 peer.start();
                 CloseRecorder recorder = connectTo(server.getLocalPort(), loop(), throwsOnRead);
                 assertEquals(
-                        List.of(throwsOnRead ? CloseReason.HANDLER_FAILED : CloseReason.CLOSED_BY_PEER), recorder.closeReasons);
+                        List.of(throwsOnRead ? CloseReason.HANDLER_FAILED : CloseReason.CLOSED_BY_PEER),
+                        recorder.closeReasons);
                 assertEquals(throwsOnRead ? 1 : 0, failures.size());
             }
         }
--- a/src/test/java/merlinlever/common/net/ManualClockLoop.java
+++ b/src/test/java/merlinlever/common/net/ManualClockLoop.java
@@ -97,7 +97,9 @@
     public void awaitCondition(BooleanSupplier condition, String description) {
         long startedNanos = System.nanoTime();
         while (!callOnLoop(condition::getAsBoolean)) {
-            assertTrue(System.nanoTime() - startedNanos < TIMEOUT_MS * 1_000_000L, "timed out waiting for: " + description);
+            assertTrue(
+                    System.nanoTime() - startedNanos < TIMEOUT_MS * 1_000_000L,
+                    "timed out waiting for: " + description);
             Thread.onSpinWait();
         }
     }
--- a/src/test/java/merlinlever/common/net/TaskHandOffTest.java
+++ b/src/test/java/merlinlever/common/net/TaskHandOffTest.java
@@ -59,7 +59,8 @@
                         breakpoint.enable();
                     } else if (event instanceof BreakpointEvent breakpointHit) {
                         StepRequest stepRequest = machine.eventRequestManager()
-                                .createStepRequest(breakpointHit.thread(), StepRequest.STEP_LINE, StepRequest.STEP_INTO);
+                                .createStepRequest(
+                                        breakpointHit.thread(), StepRequest.STEP_LINE, StepRequest.STEP_INTO);
                         stepRequest.setSuspendPolicy(EventRequest.SUSPEND_EVENT_THREAD);
                         stepRequest.enable();
                     } else if (event instanceof StepEvent step) {
@@ -84,7 +85,8 @@
     }
 
     /** Asserts that the periodic timer keeps running while the submitting thread is suspended. */
-    private static void assertTimersKeepRunning(ReferenceType program, LocatableEvent event) throws InterruptedException {
+    private static void assertTimersKeepRunning(ReferenceType program, LocatableEvent event)
+            throws InterruptedException {
         Field ticks = program.fieldByName("ticks");
         int before = ((IntegerValue) program.getValue(ticks)).value();
         long deadlineNanos = System.nanoTime() + MAX_WAIT_NANOS;
