--- a/src/main/java/merlinlever/policy/ServerState.java
+++ b/src/main/java/merlinlever/policy/ServerState.java
@@ -183,9 +183,9 @@
         decisions.add(decision);
     }
 
-    /** Withdraws decisions to share an outcome if the duplicate has ended in the meantime. */
-    void withdrawOutdatedShares() {
-        decisions.withdrawShares(handle -> ((Request) handle).phase() != Phase.SHARING_OUTCOME);
+    /** Removes decisions to share an outcome if the duplicate has ended in the meantime. */
+    void removeOutdatedShares() {
+        decisions.removeOutdatedShares(handle -> ((Request) handle).phase() != Phase.SHARING_OUTCOME);
     }
 
     /** Returns the current batch of decisions and begins a new one. */
@@ -288,7 +288,7 @@
         adjustCounts(request, 1);
     }
 
-    /** Changes the phase of a request. An illegal change fails if assertions are on; else it is logged. */
+    /** Changes the phase of a request. An illegal change fails if assertions are on, else is logged. */
     void moveTo(Request request, Phase phase) {
         boolean legal = phaseTransitions.isLegal(request.phase(), phase);
         assert legal : "illegal phase change from " + request.phase() + " to " + phase;
