--- a/src/main/java/merlinlever/common/net/Connection.java
+++ b/src/main/java/merlinlever/common/net/Connection.java
@@ -78,7 +78,7 @@
     }
 
     /**
-     * Starts to connect. Buffers queued before the connection is established are written once it is. A failure to
+     * Starts to connect. Buffers queued before the connection is established are written afterwards. A failure to
      * connect is always reported to the handler after this method has returned.
      *
      * @throws IOException if no socket can be opened
--- a/src/test/java/merlinlever/common/net/ConnectionTest.java
+++ b/src/test/java/merlinlever/common/net/ConnectionTest.java
@@ -58,7 +58,7 @@
 
     @Test
     void aConnectionIsClosedOnceWithTheMatchingReason() throws IOException {
-        // No process listens at this port.
+        // A free port, which no other test process uses.
         int unusedPort = PortAllocator.free();
         CloseRecorder refused = connectTo(unusedPort, loop(), false);
         assertEquals(List.of(CloseReason.CONNECT_FAILED), refused.closeReasons);
