--- a/src/main/java/merlinlever/fleet/routes/FlapDamping.java
+++ b/src/main/java/merlinlever/fleet/routes/FlapDamping.java
@@ -5,19 +5,20 @@
 import java.util.TreeMap;
 
 /**
- * Suppresses for a while routes that come and go, as RFC 2439 and RFC 7196 say. Times are since the process began. Not thread-safe.
+ * Route flap damping as in RFC 2439 and RFC 7196: temporarily suppresses routes that are withdrawn or changed often.
+ * Times are durations since the start of the process. Not thread-safe.
  */
 public final class FlapDamping {
 
     /**
-     * Penalties without a unit.
+     * The damping settings. Penalties have no unit.
      *
-     * @param withdrawalPenalty for a route that is withdrawn
-     * @param changePenalty for one that changes
-     * @param suppressThreshold from this penalty on a route is suppressed
-     * @param reuseThreshold below this penalty it is used again
-     * @param halfLife in which a penalty decays to half
-     * @param maxPenalty upper bound
+     * @param withdrawalPenalty penalty for the withdrawal of a route
+     * @param changePenalty penalty for a change of a route
+     * @param suppressThreshold a route with this penalty or a higher one is suppressed
+     * @param reuseThreshold a suppressed route is used again when its penalty drops below this threshold
+     * @param halfLife time in which a penalty decays to half its value
+     * @param maxPenalty upper bound of the penalty of a route
      */
     public record FlapDampingSettings(
             double withdrawalPenalty,
@@ -26,7 +27,7 @@
             double reuseThreshold,
             Duration halfLife,
             double maxPenalty) {
-        /** With the lowest threshold that RFC 7196 recommends; nothing is suppressed for more than an hour. */
+        /** Settings with the lowest threshold that RFC 7196 recommends. They suppress a route for at most an hour. */
         public static final FlapDampingSettings RECOMMENDED =
                 new FlapDampingSettings(1000, 500, 6000, 750, Duration.ofMinutes(15), 12_000);
     }
@@ -41,24 +42,24 @@
         }
     }
 
-    /** Upper bound of the routes with a penalty; further ones get none. */
+    /** Maximum number of routes that have a penalty. Routes beyond this limit are not damped. */
     public static final int MAX_ROUTES = 16_384;
 
     private final FlapDampingSettings settings;
     private final Map<String, RoutePenalty> penalties = new TreeMap<>();
 
-    /** A damping without any penalty yet. */
+    /** Creates a flap damping without penalties. */
     public FlapDamping(FlapDampingSettings settings) {
         this.settings = settings;
     }
 
-    private double decayedPenalty(Duration now, RoutePenalty entry) {
-        long ageNanos = now.minus(entry.updatedAt).toNanos();
+    private double decayedPenalty(Duration now, RoutePenalty routePenalty) {
+        long ageNanos = now.minus(routePenalty.updatedAt).toNanos();
         double halfLives = ageNanos / (double) settings.halfLife().toNanos();
-        return entry.penalty * Math.pow(0.5, halfLives);
+        return routePenalty.penalty * Math.pow(0.5, halfLives);
     }
 
-    /** Below this a penalty is forgotten. */
+    /** The threshold below which the penalty of a route is discarded. */
     private double negligiblePenalty() {
         return settings.reuseThreshold() / 2;
     }
@@ -72,34 +73,34 @@
     }
 
     private void addPenalty(Duration now, String route, double increase) {
-        RoutePenalty entry = penalties.get(route);
-        if (entry == null) {
+        RoutePenalty routePenalty = penalties.get(route);
+        if (routePenalty == null) {
             if (penalties.size() >= MAX_ROUTES) {
-                penalties.values().removeIf(candidate -> decayedPenalty(now, candidate) < negligiblePenalty());
+                penalties.values().removeIf(oldPenalty -> decayedPenalty(now, oldPenalty) < negligiblePenalty());
                 if (penalties.size() >= MAX_ROUTES) {
                     return;
                 }
             }
-            entry = new RoutePenalty(now);
-            penalties.put(route, entry);
+            routePenalty = new RoutePenalty(now);
+            penalties.put(route, routePenalty);
         }
-        entry.penalty = Math.min(settings.maxPenalty(), decayedPenalty(now, entry) + increase);
-        entry.updatedAt = now;
-        entry.suppressed |= entry.penalty >= settings.suppressThreshold();
+        routePenalty.penalty = Math.min(settings.maxPenalty(), decayedPenalty(now, routePenalty) + increase);
+        routePenalty.updatedAt = now;
+        routePenalty.suppressed |= routePenalty.penalty >= settings.suppressThreshold();
     }
 
-    /** Whether the route is suppressed now. */
+    /** Whether the route is suppressed at the given time. */
     public boolean isSuppressed(Duration now, String route) {
-        RoutePenalty entry = penalties.get(route);
-        if (entry == null) {
+        RoutePenalty routePenalty = penalties.get(route);
+        if (routePenalty == null) {
             return false;
         }
-        double penalty = decayedPenalty(now, entry);
-        entry.suppressed &= penalty >= settings.reuseThreshold();
+        double penalty = decayedPenalty(now, routePenalty);
+        routePenalty.suppressed &= penalty >= settings.reuseThreshold();
         if (penalty < negligiblePenalty()) {
             penalties.remove(route);
         }
-        return entry.suppressed;
+        return routePenalty.suppressed;
     }
 
     int size() {
--- a/src/main/java/merlinlever/fleet/routes/LocalServiceHealth.java
+++ b/src/main/java/merlinlever/fleet/routes/LocalServiceHealth.java
@@ -6,13 +6,14 @@
 import merlinlever.controller.Outcome;
 
 /**
- * The health of this site's own records service, by the outcomes of the calls to it: unreachable when several in a row did not get
- * through, slow when half of the latest calls took too long or were abandoned. While it is either, a call now and then probes it.
- * Times are since the process began. Not thread-safe.
+ * Health of this site's own records service, derived from the outcomes of the calls to it. The service counts as
+ * unreachable after several consecutive connection failures, and as slow when half of the latest calls were slow or
+ * timed out. While the service is not healthy, an occasional call probes it. Times are durations since the start of
+ * the process. Not thread-safe.
  */
 public final class LocalServiceHealth {
 
-    /** How the service does. */
+    /** Health of the service. */
     public enum HealthState implements WireNamed {
         HEALTHY("good"),
         SLOW("slow"),
@@ -24,7 +25,7 @@
             this.wireName = wireName;
         }
 
-        /** The name in logs and JSON; it stays when the constant is renamed. */
+        /** The name in logs and JSON, independent of the name of the constant. */
         @Override
         public String wireName() {
             return wireName;
@@ -32,67 +33,67 @@
     }
 
     /**
-     * Settings.
+     * Settings of the health check.
      *
-     * @param failuresUntilUnreachable calls in a row that do not get through
-     * @param slowCall a call that takes longer counts as slow
-     * @param slownessWindow so many of the latest calls are considered, and half of them slow make the service slow
-     * @param probeInterval between two probes
-     * @param successesUntilHealthy calls in a row that get through quickly
+     * @param failuresUntilUnreachable number of consecutive connection failures after which the service is
+     *     unreachable
+     * @param slowCallThreshold a call that takes longer counts as slow
+     * @param slownessWindow number of latest calls to consider; the service is slow when half of them are slow
+     * @param probeInterval minimum time between two probes
+     * @param successesUntilHealthy number of consecutive fast calls after which the service is healthy again
      */
     public record HealthSettings(
             int failuresUntilUnreachable,
-            Duration slowCall,
+            Duration slowCallThreshold,
             int slownessWindow,
             Duration probeInterval,
             int successesUntilHealthy) {
-        /** The settings of every released program. */
         public static final HealthSettings DEFAULTS =
                 new HealthSettings(3, Duration.ofMillis(500), 32, Duration.ofMillis(500), 3);
     }
 
     private final HealthSettings settings;
-    /** A ring of the latest calls: whether each was slow. */
+    /** Ring buffer of the latest calls, with true for a slow call. */
     private final boolean[] slowCalls;
 
     private HealthState state = HealthState.HEALTHY;
     private int nextSlot;
     private int slowCount;
     private int sampleCount;
-    private int failuresInARow;
-    private int successesInARow;
+    private int consecutiveFailures;
+    private int consecutiveSuccesses;
     private Duration lastProbeAt = Duration.ZERO;
 
-    /** A service that is taken for healthy until calls show otherwise. */
+    /** Creates the health of a service that is initially healthy. */
     public LocalServiceHealth(HealthSettings settings) {
         this.settings = settings;
         slowCalls = new boolean[settings.slownessWindow()];
     }
 
-    /** The present state. */
+    /** Current health of the service. */
     public HealthState state() {
         return state;
     }
 
-    /** A call to the service ended. */
+    /** Updates the health with the outcome of a call to the service. */
     public void recordOutcome(Duration now, Outcome outcome, Duration duration) {
         if (outcome == Outcome.NOT_STARTED || outcome == Outcome.STOPPED) {
             return;
         }
         boolean failed = outcome == Outcome.UNREACHABLE || outcome == Outcome.CONNECTION_LOST;
-        boolean isSlow = outcome == Outcome.TIMED_OUT || duration.compareTo(settings.slowCall()) > 0;
-        failuresInARow = failed ? failuresInARow + 1 : 0;
-        successesInARow = failed || isSlow ? 0 : successesInARow + 1;
+        boolean isSlow = outcome == Outcome.TIMED_OUT || duration.compareTo(settings.slowCallThreshold()) > 0;
+        consecutiveFailures = failed ? consecutiveFailures + 1 : 0;
+        consecutiveSuccesses = failed || isSlow ? 0 : consecutiveSuccesses + 1;
         slowCount += (isSlow ? 1 : 0) - (slowCalls[nextSlot] ? 1 : 0);
         slowCalls[nextSlot] = isSlow;
         nextSlot = (nextSlot + 1) % slowCalls.length;
         sampleCount = Math.min(slowCalls.length, sampleCount + 1);
         boolean isHalfSlow = sampleCount >= slowCalls.length && slowCount * 2 >= slowCalls.length;
-        if (failuresInARow >= settings.failuresUntilUnreachable()) {
+        if (consecutiveFailures >= settings.failuresUntilUnreachable()) {
             changeState(HealthState.UNREACHABLE, now);
         } else if (state == HealthState.HEALTHY && isHalfSlow) {
             changeState(HealthState.SLOW, now);
-        } else if (state != HealthState.HEALTHY && successesInARow >= settings.successesUntilHealthy()) {
+        } else if (state != HealthState.HEALTHY && consecutiveSuccesses >= settings.successesUntilHealthy()) {
             changeState(HealthState.HEALTHY, now);
             Arrays.fill(slowCalls, false);
             slowCount = 0;
@@ -104,11 +105,14 @@
         if (state != newState) {
             state = newState;
             lastProbeAt = now;
-            successesInARow = 0;
+            consecutiveSuccesses = 0;
         }
     }
 
-    /** Whether a call that starts now is to probe the service, which is not healthy; if so the next one waits. */
+    /**
+     * Whether a call that starts now should probe the service. Returns false for a healthy service, and within the
+     * probe interval after the last probe. A call of this method that returns true counts as a probe.
+     */
     public boolean shouldProbe(Duration now) {
         if (state == HealthState.HEALTHY || now.minus(lastProbeAt).compareTo(settings.probeInterval()) < 0) {
             return false;
--- a/src/main/java/merlinlever/fleet/routes/PartnerTable.java
+++ b/src/main/java/merlinlever/fleet/routes/PartnerTable.java
@@ -5,33 +5,38 @@
 import merlinlever.common.log.EventLog;
 
 /**
- * The latest table of one partner, the part of it that is active, and until when. A table is valid for a lease from a moment at
- * which the partner surely stood by it; so a message that comes late, twice or never widens nothing, and a tighter restriction
- * that does not arrive holds when the lease is over. Times are since the process began. Not thread-safe.
+ * The latest route table of one partner, the active part of the table, and the end of its lease. The lease starts no
+ * later than the partner's last confirmation of the table. Delayed, duplicate or lost messages therefore never extend
+ * the permitted routes, and a lost withdrawal or tighter restriction takes effect at the latest when the lease
+ * expires. Times are durations since the start of the process. Not thread-safe.
  */
 final class PartnerTable {
 
     private final String site;
     private final Relation relation;
     private final double clockDrift;
-    /** The latest table that the partner published, or null, and its digest. */
+    /** Latest table that the partner published; null before the first. */
     private RouteTable latest;
 
+    /** Digest of the latest table. */
     private String digest;
-    /** What may be used: the latest table, or only what was allowed before as well; null before the first. */
+    /**
+     * The table in use: the latest table, or its intersection with the previous one while the newly permitted routes
+     * are not adopted. Null before the first table.
+     */
     private RouteTable active;
 
     private Duration validUntil = Duration.ZERO;
-    /** What was active before the latest, and until when, in case that two tables have the latest's version. */
+    /** Table that was active before the latest one, used when two different tables carry the version of the latest. */
     private RouteTable previous;
 
     private Duration previousValidUntil = Duration.ZERO;
     private boolean conflicting;
 
     /**
-     * A partner of which no table is known yet.
+     * Creates the state of a partner without a table.
      *
-     * @param clockDrift upper bound of the fraction by which the partner's clock and this one run apart
+     * @param clockDrift maximum relative rate difference between the partner's clock and the clock of this process
      */
     PartnerTable(String site, Relation relation, double clockDrift) {
         this.site = site;
@@ -48,10 +53,10 @@
     }
 
     /**
-     * Takes in a table that is said to be the partner's.
+     * Handles a table received for this partner.
      *
-     * @param mayWiden whether what it newly allows may be adopted now
-     * @return whether what is active changed
+     * @param mayWiden whether newly permitted routes may be adopted now
+     * @return whether the active table changed
      */
     boolean offer(Duration now, RouteTable table, String tableDigest, boolean mayWiden, EventLog log) {
         if (!table.site().equals(site) || table.relation() != relation) {
@@ -60,16 +65,16 @@
             return false;
         }
         if (latest != null && !table.isLaterThan(latest)) {
-            return offerOldVersion(table, tableDigest, log);
+            return handleOldVersion(table, tableDigest, log);
         }
         expire(now);
-        boolean isValid = now.compareTo(validUntil) < 0;
-        previous = isValid ? active : null;
-        previousValidUntil = isValid ? validUntil : Duration.ZERO;
+        boolean isLeaseValid = now.compareTo(validUntil) < 0;
+        previous = isLeaseValid ? active : null;
+        previousValidUntil = isLeaseValid ? validUntil : Duration.ZERO;
         conflicting = false;
         latest = table;
         digest = tableDigest;
-        // Where its lease is shorter than before, the earlier one ends as the new one would.
+        // A shorter lease of the new table also shortens the current lease.
         Duration latestExpiry = now.plus(table.lease());
         if (validUntil.compareTo(latestExpiry) > 0) {
             validUntil = latestExpiry;
@@ -87,14 +92,17 @@
                 site, version.incarnation(), version.sequence(), relation, version.lease(), new TreeMap<>());
     }
 
-    /** Drops what is not valid any more: to use it again is to adopt it anew. */
+    /**
+     * Empties the active table if its lease has expired. The routes count as newly permitted when the lease is
+     * renewed.
+     */
     void expire(Duration now) {
         if (active != null && now.compareTo(validUntil) >= 0 && !active.routes().isEmpty()) {
             active = emptyTable(latest);
         }
     }
 
-    private boolean offerOldVersion(RouteTable table, String tableDigest, EventLog log) {
+    private boolean handleOldVersion(RouteTable table, String tableDigest, EventLog log) {
         if (!table.isSameVersion(latest)) {
             log.line("route-table-rejected partner=" + site + " reason=older-version version=" + formatVersion(table)
                     + " latest=" + formatVersion(latest));
@@ -115,11 +123,11 @@
     }
 
     /**
-     * Renews the lease: the partner surely stood by that version at a moment, or later.
+     * Renews the lease of the latest table.
      *
-     * @param confirmedAt that moment
-     * @param duration how long the table may be used from then
-     * @return whether that is the version that is known
+     * @param confirmedAt start of the new lease, no later than the partner's confirmation of the given version
+     * @param duration duration of the new lease
+     * @return false if the given version is not the latest known version, or the latest version is conflicting
      */
     boolean renew(long incarnation, long sequence, String tableDigest, Duration confirmedAt, Duration duration) {
         if (latest == null
@@ -129,17 +137,17 @@
                 || !tableDigest.equals(digest)) {
             return false;
         }
-        Duration longest = duration.compareTo(latest.lease()) < 0 ? duration : latest.lease();
-        Duration onAnyClock = Duration.ofNanos((long) (longest.toNanos() / (1 + clockDrift)));
-        Duration expiry = confirmedAt.plus(onAnyClock);
+        Duration leaseDuration = duration.compareTo(latest.lease()) < 0 ? duration : latest.lease();
+        Duration driftAdjusted = Duration.ofNanos((long) (leaseDuration.toNanos() / (1 + clockDrift)));
+        Duration expiry = confirmedAt.plus(driftAdjusted);
         if (expiry.compareTo(validUntil) > 0) {
             validUntil = expiry;
         }
         return true;
     }
 
-    /** Adopts what the latest table newly allows; returns whether that changed what is active. */
-    @SuppressWarnings("ReferenceEquality") // a narrowed table is another object, though it may allow the same
+    /** Adopts the newly permitted routes of the latest table; returns whether the active table changed. */
+    @SuppressWarnings("ReferenceEquality") // an intersection is a different object, even if it has the same routes
     boolean adoptWidening() {
         if (latest == null || conflicting || active == latest) {
             return false;
@@ -152,12 +160,12 @@
         return table.incarnation() + "." + table.sequence();
     }
 
-    /** What may be used now, or null. */
+    /** The table in use at the given time, or null if no lease is valid. */
     RouteTable active(Duration now) {
         return now.compareTo(validUntil) < 0 ? active : null;
     }
 
-    /** The latest table, active or not; null before the first. */
+    /** The latest table, whether active or not; null before the first. */
     RouteTable latest() {
         return latest;
     }
@@ -166,17 +174,17 @@
         return digest;
     }
 
-    /** Whether two tables came under the latest version. */
+    /** Whether two different tables with the latest version were received. */
     boolean isConflicting() {
         return conflicting;
     }
 
-    /** How long it may still be used, for peers. */
+    /** Remaining lease time, which is passed on to peers; zero if the latest version is conflicting. */
     Duration remaining(Duration now) {
         return conflicting || now.compareTo(validUntil) >= 0 ? Duration.ZERO : validUntil.minus(now);
     }
 
-    /** Whether more than half of its lease is over, so that its routes are used last (RFC 4724). */
+    /** Whether more than half of the lease has passed. The routes of a stale table are used last (RFC 4724). */
     boolean isStale(Duration now) {
         return latest == null || remaining(now).compareTo(latest.lease().dividedBy(2)) < 0;
     }
--- a/src/main/java/merlinlever/fleet/routes/PeerTableSync.java
+++ b/src/main/java/merlinlever/fleet/routes/PeerTableSync.java
@@ -10,11 +10,12 @@
 import merlinlever.fleet.replication.VersionedEntry;
 
 /**
- * What the backends of one site tell each other of partners: the tables as replicated entries, which may come late, and how
- * long they are valid as answers, which count from the query. So nobody has more of a lease than the backend that heard the
- * partner itself. Not thread-safe.
+ * Exchanges the route tables of partners among the backends of one site. The tables are replicated as entries; the
+ * remaining lease of a table is requested from a peer. A lease from an answer starts when the query was sent, and so
+ * never ends later than the lease of the backend that got the table from the partner. Not thread-safe.
  *
- * <p>Texts: {@code K/site} queries what is held, {@code L/site/incarnation/sequence/digest/remaining} answers, in ms.
+ * <p>Messages: the query {@code K/site}, and the answer {@code L/site/incarnation/sequence/digest/remaining} with the
+ * remaining lease in milliseconds.
  */
 public final class PeerTableSync {
 
@@ -22,7 +23,7 @@
     private static final String ANSWER = "L";
     private static final Duration MIN_QUERY_INTERVAL = Duration.ofMillis(100);
 
-    /** The last query about a partner, and the peer that has had the longest lease of it. */
+    /** The last query about a partner, and the peer that reported the longest remaining lease. */
     private static final class LeaseQuery {
         private long correlationId;
         private Duration sentAt;
@@ -37,7 +38,7 @@
             bestAnswered = false;
         }
 
-        void noteAnswer(String peer, long remainingMs) {
+        void recordAnswer(String peer, long remainingMs) {
             if (peer.equals(bestPeer) || remainingMs > bestRemainingMs) {
                 bestPeer = peer;
                 bestRemainingMs = remainingMs;
@@ -53,9 +54,10 @@
     private long lastCorrelationId;
 
     /**
-     * A synchronization that has sent no query yet.
+     * Creates a synchronization that has not sent a query.
      *
-     * @param firstCorrelationId which no other incarnation of this backend comes near
+     * @param firstCorrelationId start of the correlation ids, in a range that no other incarnation of this backend
+     *     uses
      */
     public PeerTableSync(RoutingTable routingTable, long firstCorrelationId, SplittableRandom random) {
         this.routingTable = routingTable;
@@ -63,38 +65,39 @@
         lastCorrelationId = firstCorrelationId;
     }
 
-    /** The entries to be replicated of a table that was read here. */
+    /** Returns the entries that replicate a table. */
     public static List<VersionedEntry> toEntries(RouteTable table) {
         return TableChunks.split(table);
     }
 
-    /** Takes in an entry of a peer; returns whether it completed a table that is newer. */
+    /** Handles an entry from a peer; returns whether the entry completed a table newer than the latest known one. */
     public boolean receiveEntry(Duration now, VersionedEntry entry) {
         RouteTable table = chunks.receive(entry);
         return table != null && routingTable.offer(now, table);
     }
 
-    /** Whether the entry is part of a table. */
+    /** Whether the entry is a chunk of a table. */
     public static boolean isChunk(VersionedEntry entry) {
         return TableChunks.isChunk(entry);
     }
 
     /**
-     * The queries to be sent now: about each partner whose lease is a quarter over, every eighth of it, to the peer that had the
-     * longest and to another one.
+     * Returns the queries to send now. A partner is queried once a quarter of its lease has passed, and again after
+     * each eighth of the lease. Each query goes to a random peer and to the peer that last reported the longest
+     * remaining lease.
      */
     public List<PeerMessage.Text> dueQueries(Duration now, List<String> peers) {
         List<PeerMessage.Text> messages = new ArrayList<>();
         for (String partner : routingTable.partners()) {
-            RoutingTable.TableLease held = routingTable.lease(now, partner);
-            Duration lease = held == null
+            RoutingTable.TableLease tableLease = routingTable.lease(now, partner);
+            Duration lease = tableLease == null
                     ? RouteTable.MIN_LEASE.multipliedBy(4)
                     : routingTable.latestTable(partner).lease();
             Duration eighth = lease.dividedBy(8);
             Duration interval = eighth.compareTo(MIN_QUERY_INTERVAL) < 0 ? MIN_QUERY_INTERVAL : eighth;
-            LeaseQuery query = queries.computeIfAbsent(partner, absent -> new LeaseQuery());
-            boolean needsRenewal = held == null
-                    || held.remaining().compareTo(lease.multipliedBy(3).dividedBy(4)) < 0;
+            LeaseQuery query = queries.computeIfAbsent(partner, site -> new LeaseQuery());
+            boolean needsRenewal = tableLease == null
+                    || tableLease.remaining().compareTo(lease.multipliedBy(3).dividedBy(4)) < 0;
             boolean isDue = query.sentAt == null || now.minus(query.sentAt).compareTo(interval) >= 0;
             if (!peers.isEmpty() && needsRenewal && isDue) {
                 lastCorrelationId++;
@@ -110,50 +113,50 @@
         return messages;
     }
 
-    /** Takes in a text of a peer, and returns what is to be sent in answer; one that is not understood is ignored. */
+    /** Handles a message from a peer and returns the messages to send in reply. Malformed messages are ignored. */
     public List<PeerMessage.Text> receive(Duration now, String sender, long correlationId, String text) {
-        String[] parts = text.split("/", -1);
-        if (parts[0].equals(QUERY) && parts.length == 2) {
-            return answer(now, sender, correlationId, parts[1]);
+        String[] fields = text.split("/", -1);
+        if (fields[0].equals(QUERY) && fields.length == 2) {
+            return answer(now, sender, correlationId, fields[1]);
         }
-        if (parts[0].equals(ANSWER) && parts.length == 6) {
-            receiveAnswer(now, sender, correlationId, parts);
+        if (fields[0].equals(ANSWER) && fields.length == 6) {
+            receiveAnswer(now, sender, correlationId, fields);
         }
         return List.of();
     }
 
     private List<PeerMessage.Text> answer(Duration now, String sender, long correlationId, String partner) {
-        RoutingTable.TableLease held = routingTable.lease(now, partner);
-        if (held == null || held.remaining().isZero()) {
+        RoutingTable.TableLease tableLease = routingTable.lease(now, partner);
+        if (tableLease == null || tableLease.remaining().isZero()) {
             return List.of();
         }
-        String text = ANSWER + "/" + partner + "/" + held.incarnation() + "/" + held.sequence() + "/" + held.digest()
-                + "/" + held.remaining().toMillis();
+        String text = ANSWER + "/" + partner + "/" + tableLease.incarnation() + "/" + tableLease.sequence() + "/"
+                + tableLease.digest() + "/" + tableLease.remaining().toMillis();
         return List.of(new PeerMessage.Text(sender, correlationId, text));
     }
 
-    private void receiveAnswer(Duration now, String sender, long correlationId, String[] parts) {
-        String partner = parts[1];
+    private void receiveAnswer(Duration now, String sender, long correlationId, String[] fields) {
+        String partner = fields[1];
         LeaseQuery query = queries.get(partner);
         if (query == null || query.correlationId != correlationId) {
             return;
         }
         try {
-            long remainingMs = Long.parseLong(parts[5]);
+            long remainingMs = Long.parseLong(fields[5]);
             if (remainingMs < 0 || remainingMs > RouteTable.MAX_LEASE.toMillis()) {
                 return;
             }
-            query.noteAnswer(sender, remainingMs);
+            query.recordAnswer(sender, remainingMs);
             RoutingTable.Renewal renewal = new RoutingTable.Renewal(
                     partner,
-                    Long.parseLong(parts[2]),
-                    Long.parseLong(parts[3]),
-                    parts[4],
+                    Long.parseLong(fields[2]),
+                    Long.parseLong(fields[3]),
+                    fields[4],
                     query.sentAt,
                     Duration.ofMillis(remainingMs));
             routingTable.renew(now, renewal);
         } catch (NumberFormatException e) {
-            // Malformed: ignored, as any datagram may be lost.
+            // A malformed answer is ignored like a lost one.
             return;
         }
     }
--- a/src/main/java/merlinlever/fleet/routes/Relation.java
+++ b/src/main/java/merlinlever/fleet/routes/Relation.java
@@ -2,13 +2,13 @@
 
 import merlinlever.common.WireNamed;
 
-/** What a partner site is to this one; the first is preferred (Gao and Rexford 2001). */
+/** The business relation of a partner site to this site, in descending order of preference (Gao and Rexford 2001). */
 public enum Relation implements WireNamed {
-    /** It pays for calls. */
+    /** The partner pays for calls. */
     CUSTOMER("customer"),
-    /** Neither pays. */
+    /** Neither site pays. */
     PEER("peer"),
-    /** It is paid for calls. */
+    /** The partner is paid for calls. */
     PROVIDER("provider");
 
     private final String wireName;
@@ -17,13 +17,13 @@
         this.wireName = wireName;
     }
 
-    /** The name in route tables; it stays when the constant is renamed. */
+    /** The name in route tables, independent of the name of the constant. */
     @Override
     public String wireName() {
         return wireName;
     }
 
-    /** What this site is to the partner. */
+    /** Returns the relation of this site to the partner. */
     public Relation inverse() {
         return switch (this) {
             case CUSTOMER -> PROVIDER;
--- a/src/main/java/merlinlever/fleet/routes/Restrictions.java
+++ b/src/main/java/merlinlever/fleet/routes/Restrictions.java
@@ -5,15 +5,17 @@
 import java.util.TreeSet;
 
 /**
- * Where a route may be exported and what may go along it, as its origin says; whoever exports the route exports these unchanged.
+ * Restrictions that the origin of a route puts on its export and use. Each site that exports the route exports its
+ * restrictions unchanged.
  *
- * @param allowedSites the only sites that may have it; null for all
- * @param deniedSites sites that may not have it
- * @param noExport whoever has it from its origin exports it to nobody (as NO_EXPORT in RFC 1997)
- * @param maxPathLength upper bound of the sites on the path, the origin among them
- * @param idempotentOnly only idempotent calls may go along it
- * @param customersOnly exported only to customers
- * @param unreadable they were not understood, and so forbid everything
+ * @param allowedSites the only sites that may use the route; null for all sites
+ * @param deniedSites sites that may not use the route
+ * @param noExport whether sites that received the route from its origin must not export the route (as NO_EXPORT in
+ *     RFC 1997)
+ * @param maxPathLength maximum number of sites on the path, including the origin
+ * @param idempotentOnly whether only idempotent calls may use the route
+ * @param customersOnly whether the route may be exported only to customers
+ * @param unreadable whether the restrictions could not be parsed, in which case they forbid everything
  */
 public record Restrictions(
         SortedSet<String> allowedSites,
@@ -24,14 +26,14 @@
         boolean customersOnly,
         boolean unreadable) {
 
-    /** Upper bound of the sites on a path, whatever is said. */
+    /** Maximum number of sites on any path. */
     public static final int MAX_PATH_LENGTH = 16;
 
-    /** Everything is allowed. */
+    /** Restrictions that forbid nothing. */
     public static final Restrictions NONE =
             new Restrictions(null, new TreeSet<>(), false, MAX_PATH_LENGTH, false, false, false);
 
-    /** Nothing is allowed. */
+    /** Restrictions that forbid everything. */
     public static final Restrictions UNREADABLE =
             new Restrictions(new TreeSet<>(), new TreeSet<>(), true, 1, true, true, true);
 
@@ -41,22 +43,22 @@
         deniedSites = Collections.unmodifiableSortedSet(new TreeSet<>(deniedSites));
     }
 
-    /** Whether the origin lets the site have the route, however it got there. */
+    /** Whether the origin allows the site to use the route, regardless of the path. */
     public boolean allows(String site) {
         return !unreadable && (allowedSites == null || allowedSites.contains(site)) && !deniedSites.contains(site);
     }
 
-    /** Forbids all that either of the two forbids; the same in any order. */
+    /** Returns restrictions that forbid everything that either of the two forbids. The operation is commutative. */
     public Restrictions intersect(Restrictions other) {
-        SortedSet<String> onlyToBoth = allowedSites == null ? other.allowedSites : new TreeSet<>(allowedSites);
+        SortedSet<String> allowedByBoth = allowedSites == null ? other.allowedSites : new TreeSet<>(allowedSites);
         if (allowedSites != null && other.allowedSites != null) {
-            onlyToBoth.retainAll(other.allowedSites);
+            allowedByBoth.retainAll(other.allowedSites);
         }
-        SortedSet<String> notToEither = new TreeSet<>(deniedSites);
-        notToEither.addAll(other.deniedSites);
+        SortedSet<String> deniedByEither = new TreeSet<>(deniedSites);
+        deniedByEither.addAll(other.deniedSites);
         return new Restrictions(
-                onlyToBoth,
-                notToEither,
+                allowedByBoth,
+                deniedByEither,
                 noExport || other.noExport,
                 Math.min(maxPathLength, other.maxPathLength),
                 idempotentOnly || other.idempotentOnly,
--- a/src/main/java/merlinlever/fleet/routes/Route.java
+++ b/src/main/java/merlinlever/fleet/routes/Route.java
@@ -3,16 +3,17 @@
 import java.util.List;
 
 /**
- * One way in which a partner site takes calls of a priority class.
+ * A route along which a partner site accepts calls of a priority class.
  *
- * @param group what the calls are for: addresses of one group stand in for each other
- * @param address ADDRESS:PORT of the publisher that takes the calls
- * @param callsPerSecond of the whole site that it is published to
- * @param cost the lower the better; without a unit
- * @param allowsNonIdempotent whether non-idempotent calls may go along it
- * @param path the sites that a call passes, the publisher first, the origin last
- * @param onlyToCustomerSite the site from which on it is exported only to customers (the OTC attribute of RFC 9234); null while it only
- *     went towards providers
+ * @param group the service that the calls are for; the addresses of one group are interchangeable
+ * @param address ADDRESS:PORT at which the publisher accepts the calls
+ * @param callsPerSecond maximum rate of the whole site that receives the route
+ * @param cost cost without a unit; a lower cost is preferred
+ * @param allowsNonIdempotent whether non-idempotent calls may use the route
+ * @param path the sites that a call passes, from the publisher to the origin
+ * @param onlyToCustomerSite the site that marked the route for export to customers only (the OTC attribute of RFC
+ *     9234); null while the route was exported only to providers
+ * @param restrictions the restrictions set by the origin
  */
 public record Route(
         String priorityClass,
@@ -30,22 +31,22 @@
         path = List.copyOf(path);
     }
 
-    /** What routes are alternatives for: calls of a priority class to a group. */
+    /** The priority class and the group. Routes with the same key are alternatives. */
     public String key() {
         return priorityClass + "/" + group;
     }
 
-    /** Identifies it among the routes of one table. */
+    /** Identifier of the route within its table. */
     public String id() {
         return priorityClass + "/" + group + "/" + address + "/" + String.join(">", path);
     }
 
-    /** The site that takes the calls in the end. */
+    /** The site that processes the calls. */
     public String origin() {
         return path.get(path.size() - 1);
     }
 
-    /** What both of two versions of it allow; the same in any order. */
+    /** Returns a route that permits only what both versions of this route permit. The operation is commutative. */
     Route intersect(Route other) {
         if (equals(other)) {
             return this;
@@ -62,7 +63,7 @@
                 restrictions.intersect(other.restrictions));
     }
 
-    /** The one that is present, or the first by name of both. */
+    /** Returns the non-null argument, or the alphabetically first of two. */
     private static String firstOrPresent(String one, String other) {
         if (one == null || other == null) {
             return one == null ? other : one;
--- a/src/main/java/merlinlever/fleet/routes/RouteExporter.java
+++ b/src/main/java/merlinlever/fleet/routes/RouteExporter.java
@@ -7,39 +7,40 @@
 import java.util.function.Predicate;
 
 /**
- * What one site publishes to a partner: its own routes and, for each key, the best that may be exported there (Wang, Schapira and
- * Rexford 2009).
+ * Selects the routes that a site publishes to a partner: its own routes and, for each key, the best partner route
+ * that may be exported to that partner (Wang, Schapira and Rexford 2009).
  */
 final class RouteExporter {
 
     /**
-     * The partner that a table is for, and what the publisher takes.
+     * The receiver of an export, and the terms on which the publisher forwards calls.
      *
-     * @param relation what the partner is to the publisher
-     * @param address of the publisher, where it takes calls of the routes that it exports on
-     * @param maxCallsPerSecond that the publisher takes on each of them
-     * @param addedCost of the way through the publisher
+     * @param partner name of the site that receives the export
+     * @param relation relation of the partner to the publisher
+     * @param address ADDRESS:PORT at which the publisher accepts calls for re-exported routes
+     * @param maxCallsPerSecond maximum rate that the publisher accepts for each re-exported route
+     * @param addedCost cost that the publisher adds to each re-exported route
      */
-    record Terms(String partner, Relation relation, String address, int maxCallsPerSecond, int addedCost) {}
+    record ExportTerms(String partner, Relation relation, String address, int maxCallsPerSecond, int addedCost) {}
 
     private RouteExporter() {}
 
     /**
-     * The routes of the table to a partner, at most {@link RouteTable#MAX_ROUTES}.
+     * Returns the routes to publish to a partner, at most {@link RouteTable#MAX_ROUTES}.
      *
-     * @param ownRoutes whose calls end at this site
-     * @param isUsable whether a partner's route may be used now
+     * @param ownRoutes routes that originate at this site
+     * @param isUsable tests whether a partner's route may be used now
      */
     static List<Route> export(
             RoutingPolicy policy,
             RouteMerger merger,
-            Terms terms,
+            ExportTerms terms,
             Collection<Route> ownRoutes,
             Predicate<RouteMerger.Candidate> isUsable) {
         TreeMap<String, Route> exported = new TreeMap<>();
         for (Route route : ownRoutes) {
             if (policy.findExportViolation(null, route, terms.partner(), terms.relation()) == null) {
-                exported.put(route.id(), markOwn(policy, route, terms.relation()));
+                exported.put(route.id(), markOwnRoute(policy, route, terms.relation()));
             }
         }
         for (String key : merger.keys()) {
@@ -49,8 +50,8 @@
                         policy.findExportViolation(candidate.relation(), route, terms.partner(), terms.relation())
                                 == null;
                 if (isUsable.test(candidate) && mayExport) {
-                    Route through = policy.toExported(route, terms);
-                    exported.putIfAbsent(through.id(), through);
+                    Route exportedRoute = policy.toExported(route, terms);
+                    exported.putIfAbsent(exportedRoute.id(), exportedRoute);
                     break;
                 }
             }
@@ -59,8 +60,8 @@
         return routes.size() <= RouteTable.MAX_ROUTES ? routes : routes.subList(0, RouteTable.MAX_ROUTES);
     }
 
-    /** The first site that exports a route to a peer or customer marks it so. */
-    private static Route markOwn(RoutingPolicy policy, Route route, Relation relation) {
+    /** Marks an own route with this site when the route is exported to a peer or customer. */
+    private static Route markOwnRoute(RoutingPolicy policy, Route route, Relation relation) {
         return relation == Relation.PROVIDER || route.onlyToCustomerSite() != null
                 ? route
                 : route.withOnlyToCustomerSite(policy.self());
--- a/src/main/java/merlinlever/fleet/routes/RouteMerger.java
+++ b/src/main/java/merlinlever/fleet/routes/RouteMerger.java
@@ -13,12 +13,13 @@
 import java.util.function.BiConsumer;
 
 /**
- * The usable routes of all partners by key, best first. The result depends only on which tables there are, in whatever order they
- * came, and the work of a change depends only on its size. Not thread-safe.
+ * Merges the tables of all partners into the usable routes by key, in order of preference. The result depends only on
+ * the current tables, not on the order in which they were received. An update reads the old and the new table of one
+ * partner, and re-evaluates only the routes that differ. Not thread-safe.
  */
 public final class RouteMerger {
 
-    /** A usable route, and the partner that published it. */
+    /** A usable route and the partner that published the route. */
     public record Candidate(String partner, Relation relation, Route route) implements Comparable<Candidate> {
 
         private static final Comparator<Candidate> PREFERENCE = Comparator.comparing(Candidate::relation)
@@ -33,7 +34,7 @@
             return PREFERENCE.compare(this, other);
         }
 
-        /** Whether only names put one before the other: calls are spread over such candidates. */
+        /** Whether the candidates differ only in their names. Calls are distributed over equally good candidates. */
         public boolean isEquallyGood(Candidate other) {
             return relation == other.relation
                     && route.path().size() == other.route.path().size()
@@ -41,23 +42,23 @@
         }
     }
 
-    /** Is told what a new table of a partner changes. */
+    /** Receives the changes that a new table of a partner causes. */
     public interface RouteListener {
         /**
-         * A route may not be used.
+         * Handles a route that may not be used.
          *
-         * @param rule name of the rule that forbids it
+         * @param rule name of the rule that forbids the route
          */
         void onRejected(Route route, String rule);
 
-        /** The new table has a route no more. */
+        /** Handles a route that is missing from the new table. */
         void onWithdrawn(Route route);
 
-        /** The new table has a route in another form. */
+        /** Handles a route whose attributes differ in the new table. */
         void onChanged(Route route);
     }
 
-    /** Does nothing. */
+    /** A listener that ignores all changes. */
     public static final RouteListener NO_LISTENER = new RouteListener() {
         @Override
         public void onRejected(Route route, String rule) {}
@@ -69,10 +70,10 @@
         public void onChanged(Route route) {}
     };
 
-    /** Upper bound of the routes of all partners; a table that would go beyond is not taken. */
+    /** Maximum number of routes of all partners. A table that would exceed this limit is rejected. */
     public static final int MAX_ROUTES = 8 * RouteTable.MAX_ROUTES;
-    /** Upper bound of the candidates of one key that are considered. */
-    public static final int MAX_ALTERNATIVES = 64;
+    /** Maximum number of candidates per key that are considered for a call. */
+    public static final int MAX_CANDIDATES_PER_KEY = 64;
 
     private static final NavigableSet<Candidate> NO_CANDIDATES = Collections.unmodifiableNavigableSet(new TreeSet<>());
 
@@ -82,7 +83,7 @@
     private final Map<String, NavigableSet<Candidate>> candidates = new TreeMap<>();
     private int routeCount;
 
-    /** A merger without any table yet. */
+    /** Creates a merger without tables. */
     public RouteMerger(RoutingPolicy policy) {
         this.policy = policy;
     }
@@ -90,8 +91,8 @@
     /**
      * Replaces a partner's table.
      *
-     * @param table null removes the partner's routes
-     * @return false where its routes would exceed {@link #MAX_ROUTES}; then nothing is changed
+     * @param table the new table, or null to remove the partner's routes
+     * @return false if the routes would exceed {@link #MAX_ROUTES}, in which case the table is not replaced
      */
     public boolean replaceTable(String partner, Relation relation, RouteTable table, RouteListener listener) {
         RouteTable previous = tables.get(partner);
@@ -130,20 +131,20 @@
     }
 
     /**
-     * Walks along both maps at once, in their common order.
+     * Iterates over both sorted maps in parallel and reports their differences.
      *
-     * @param includeEqual whether equal routes are differences too
-     * @param action takes the route before and after, null for none
+     * @param includeEqual whether to report equal routes as well
+     * @param action receives the old and the new route, with null for a missing route
      */
     private static void forEachDifference(
             SortedMap<String, Route> before,
             SortedMap<String, Route> after,
             boolean includeEqual,
             BiConsumer<Route, Route> action) {
-        Iterator<Map.Entry<String, Route>> allBefore = before.entrySet().iterator();
-        Iterator<Map.Entry<String, Route>> allAfter = after.entrySet().iterator();
-        Map.Entry<String, Route> nextBefore = nextOrNull(allBefore);
-        Map.Entry<String, Route> nextAfter = nextOrNull(allAfter);
+        Iterator<Map.Entry<String, Route>> beforeEntries = before.entrySet().iterator();
+        Iterator<Map.Entry<String, Route>> afterEntries = after.entrySet().iterator();
+        Map.Entry<String, Route> nextBefore = nextOrNull(beforeEntries);
+        Map.Entry<String, Route> nextAfter = nextOrNull(afterEntries);
         while (nextBefore != null || nextAfter != null) {
             int order = compareKeys(nextBefore, nextAfter);
             if (order < 0) {
@@ -153,17 +154,17 @@
             } else if (includeEqual || !nextBefore.getValue().equals(nextAfter.getValue())) {
                 action.accept(nextBefore.getValue(), nextAfter.getValue());
             }
-            nextBefore = order <= 0 ? nextOrNull(allBefore) : nextBefore;
-            nextAfter = order >= 0 ? nextOrNull(allAfter) : nextAfter;
+            nextBefore = order <= 0 ? nextOrNull(beforeEntries) : nextBefore;
+            nextAfter = order >= 0 ? nextOrNull(afterEntries) : nextAfter;
         }
     }
 
-    /** By key, an entry that is absent last. */
-    private static int compareKeys(Map.Entry<String, Route> one, Map.Entry<String, Route> other) {
-        if (one == null) {
+    /** Compares two entries by key. A null entry is the greatest. */
+    private static int compareKeys(Map.Entry<String, Route> first, Map.Entry<String, Route> second) {
+        if (first == null) {
             return 1;
         }
-        return other == null ? -1 : one.getKey().compareTo(other.getKey());
+        return second == null ? -1 : first.getKey().compareTo(second.getKey());
     }
 
     private static Map.Entry<String, Route> nextOrNull(Iterator<Map.Entry<String, Route>> entries) {
@@ -180,10 +181,10 @@
     }
 
     private void remove(String partner, Relation relation, Route route) {
-        NavigableSet<Candidate> ofKey = candidates.get(route.key());
-        if (ofKey != null) {
-            ofKey.remove(candidate(partner, relation, route));
-            if (ofKey.isEmpty()) {
+        NavigableSet<Candidate> keyCandidates = candidates.get(route.key());
+        if (keyCandidates != null) {
+            keyCandidates.remove(candidate(partner, relation, route));
+            if (keyCandidates.isEmpty()) {
                 candidates.remove(route.key());
             }
         }
@@ -193,31 +194,31 @@
         return new Candidate(partner, relation, RoutingPolicy.markOnImport(partner, relation, route));
     }
 
-    /** The table of a partner, or null. */
+    /** The current table of a partner, or null. */
     public RouteTable table(String partner) {
         return tables.get(partner);
     }
 
-    /** How many routes all tables have, usable or not. */
+    /** Number of routes in all tables, whether usable or not. */
     public int routeCount() {
         return routeCount;
     }
 
-    /** The candidates of a key, best first. */
+    /** The candidates of a key, in order of preference. */
     public NavigableSet<Candidate> candidates(String key) {
         return Collections.unmodifiableNavigableSet(candidates.getOrDefault(key, NO_CANDIDATES));
     }
 
-    /** The keys that have candidates, in order. */
+    /** The keys that have candidates, in alphabetical order. */
     public List<String> keys() {
         return new ArrayList<>(candidates.keySet());
     }
 
-    /** All candidates as text: two mergers with the same text decide the same. */
+    /** Returns all candidates as text. Two mergers with the same text have the same candidates in the same order. */
     public String describe() {
         StringBuilder text = new StringBuilder();
-        candidates.forEach((key, ofKey) -> {
-            for (Candidate candidate : ofKey) {
+        candidates.forEach((key, keyCandidates) -> {
+            for (Candidate candidate : keyCandidates) {
                 text.append(key).append(' ').append(candidate.relation().wireName());
                 text.append(' ').append(candidate.partner());
                 text.append(' ').append(candidate.route()).append('\n');
--- a/src/main/java/merlinlever/fleet/routes/RouteSelector.java
+++ b/src/main/java/merlinlever/fleet/routes/RouteSelector.java
@@ -11,36 +11,37 @@
 import java.util.Set;
 
 /**
- * Selects the route of a call when this site's own records service is unreachable, slow or over its quota: the best routes that
- * have capacity, and among equally good ones by their calls per second and a hash of the caller's key. A change of the routes moves
- * only the keys of those that went or came (rendezvous hashing: Thaler and Ravishankar 1998; weights: Schindelhauer and Schomaker
- * 2005). Not thread-safe.
+ * Selects the route of a call when this site's own records service is unreachable, slow or over its quota. Selects
+ * the most preferred route that has capacity; calls are distributed over equally good routes by a hash of their key,
+ * in proportion to the routes' rates. Adding or removing a route moves only the keys of that route (rendezvous
+ * hashing: Thaler and Ravishankar 1998; weights: Schindelhauer and Schomaker 2005). Not thread-safe.
  */
 public final class RouteSelector {
 
-    /** What a second attempt of a call may do. */
+    /** Whether a call can be retried without a duplicate effect. */
     public enum RetrySafety {
-        /** It may run twice. */
+        /** The call may run more than once. */
         IDEMPOTENT,
-        /** It may run twice at one service only, which recognizes its key. */
+        /** The call may be repeated only at the same service, which detects duplicates by the idempotency key. */
         IDEMPOTENT_BY_KEY,
-        /** It may run once. */
+        /** The call may run at most once. */
         NON_IDEMPOTENT
     }
 
     /**
-     * What the routing of a call depends on.
+     * The routing properties of a priority class.
      *
-     * @param name of the priority class
-     * @param mayLeaveSite for non-idempotent calls the route has to allow it as well
+     * @param name name of the priority class
+     * @param mayLeaveSite whether calls may be sent to partners; a route must also allow non-idempotent calls to
+     *     carry them
      */
     public record RoutingClass(String name, RetrySafety retrySafety, boolean mayLeaveSite) {}
 
     /**
-     * A call to be routed.
+     * A call to route.
      *
-     * @param attemptedAddresses where this request's calls were sent before
-     * @param mayHaveTakenEffect whether one of those may have run: its answer never came
+     * @param attemptedAddresses partner addresses to which calls of this request were already sent
+     * @param mayHaveTakenEffect whether an earlier attempt of the call may have taken effect
      */
     public record RoutedCall(
             RoutingClass routingClass,
@@ -49,10 +50,10 @@
             Set<String> attemptedAddresses,
             boolean mayHaveTakenEffect) {}
 
-    /** Where a call goes. */
+    /** The destination of a call and the route to the destination. */
     public record SelectedRoute(String site, String address, String routeId) {}
 
-    /** Upper bound of the routes whose rate is tracked; further ones are used no more than if they had no capacity. */
+    /** Maximum number of routes whose rate is tracked. Routes beyond this limit are not used. */
     private static final int MAX_RATE_WINDOWS = 4096;
 
     private final RoutingTable routingTable;
@@ -60,16 +61,19 @@
     private final Map<String, RateWindow> rateWindows = new LinkedHashMap<>();
 
     /**
-     * A selector that has used no capacity yet.
+     * Creates a selector with the full capacity of all routes.
      *
-     * @param backends of this site that divide the capacity of each route: the most that there ever are
+     * @param backends maximum number of backends of this site, which share the capacity of each route
      */
     public RouteSelector(RoutingTable routingTable, int backends) {
         this.routingTable = routingTable;
         this.backends = backends;
     }
 
-    /** The route of a call, whose capacity it takes; empty where the call stays, or has nowhere to go. */
+    /**
+     * Selects the route of a call and uses capacity of the route. Returns empty if the local service should run the
+     * call, or if no route is available.
+     */
     public Optional<SelectedRoute> selectRoute(
             Duration now, RoutedCall call, LocalServiceHealth.HealthState localHealth, boolean isOverQuota) {
         if (localHealth == LocalServiceHealth.HealthState.HEALTHY && !isOverQuota) {
@@ -85,7 +89,7 @@
         return Optional.empty();
     }
 
-    /** The candidate of the lowest score; one without capacity leaves its keys to the next of each. */
+    /** Returns the candidate with the lowest score among the candidates that have capacity. */
     private Optional<RouteMerger.Candidate> selectWithCapacity(
             Duration now, String key, List<RouteMerger.Candidate> candidates) {
         double[] scores = new double[candidates.size()];
@@ -105,7 +109,7 @@
         return Optional.empty();
     }
 
-    /** The candidates that the call may use, in groups of equally good ones, best first. */
+    /** Groups the candidates that the call may use by preference. The most preferred group is first. */
     private List<List<RouteMerger.Candidate>> preferenceTiers(Duration now, RoutedCall call) {
         List<List<RouteMerger.Candidate>> tiers = new ArrayList<>();
         RoutingClass routingClass = call.routingClass();
@@ -127,12 +131,12 @@
         return tiers;
     }
 
-    private boolean isSameTier(Duration now, RouteMerger.Candidate one, RouteMerger.Candidate other) {
-        return one.isEquallyGood(other)
-                && routingTable.isStale(now, one.partner()) == routingTable.isStale(now, other.partner());
+    private boolean isSameTier(Duration now, RouteMerger.Candidate first, RouteMerger.Candidate second) {
+        return first.isEquallyGood(second)
+                && routingTable.isStale(now, first.partner()) == routingTable.isStale(now, second.partner());
     }
 
-    /** Whether calls of the class may go along the route at all. */
+    /** Whether calls of the class may use the route, regardless of capacity. */
     static boolean isPermitted(RoutingClass routingClass, Route route) {
         RetrySafety retrySafety = routingClass.retrySafety();
         return routingClass.mayLeaveSite()
@@ -141,14 +145,14 @@
                         || !route.restrictions().idempotentOnly());
     }
 
-    /** The rate of a route, or null where there are too many. */
+    /** Returns the rate window of a route, or null if too many routes are tracked. */
     private RateWindow rateWindow(Duration now, RouteMerger.Candidate candidate) {
         Route route = candidate.route();
         String id = candidate.partner() + " " + route.callsPerSecond() + " " + route.id();
         RateWindow window = rateWindows.get(id);
         if (window == null) {
             if (rateWindows.size() >= MAX_RATE_WINDOWS) {
-                rateWindows.values().removeIf(tracked -> tracked.isIdle(now));
+                rateWindows.values().removeIf(oldWindow -> oldWindow.isIdle(now));
                 if (rateWindows.size() >= MAX_RATE_WINDOWS) {
                     return null;
                 }
@@ -159,28 +163,34 @@
         return window;
     }
 
-    /** Upper bound of the calls per second that this backend may send out, of the classes that may leave; rounded down. */
+    /** Maximum total rate at which this backend may send calls of the classes to partners, rounded down. */
     public long callsPerSecond(Duration now, List<RoutingClass> routingClasses, String group) {
-        long perThousandSeconds = 0;
+        long callsPerThousandSeconds = 0;
         for (RoutingClass routingClass : routingClasses) {
             for (RouteMerger.Candidate candidate : routingTable.candidates(now, routingClass.name() + "/" + group)) {
                 if (isPermitted(routingClass, candidate.route())) {
-                    perThousandSeconds +=
+                    callsPerThousandSeconds +=
                             RateWindow.callsPerThousandSeconds(candidate.route().callsPerSecond(), backends);
                 }
             }
         }
-        return perThousandSeconds / 1000;
+        return callsPerThousandSeconds / 1000;
     }
 
-    /** The candidate's bid for the key: the lowest has it, each as often as its part of all calls per second. */
+    /**
+     * The weighted rendezvous score of a candidate for a key. A candidate has the lowest score for a share of the
+     * keys that equals its share of the total rate.
+     */
     static double score(String key, RouteMerger.Candidate candidate) {
         long hash = hash(key, candidate.partner() + candidate.route().address());
-        double uniform = ((hash >>> 11) + 0.5) * 0x1.0p-53;
-        return -Math.log(uniform) / candidate.route().callsPerSecond();
+        double uniformSample = ((hash >>> 11) + 0.5) * 0x1.0p-53;
+        return -Math.log(uniformSample) / candidate.route().callsPerSecond();
     }
 
-    /** 64 bits of both: FNV-1a and then the finisher of SplittableRandom (Stafford's 13th), as serve loads no library of hashes. */
+    /**
+     * A 64-bit hash of the key and the address: FNV-1a, followed by the finalizer of SplittableRandom (Stafford's
+     * variant 13).
+     */
     private static long hash(String key, String address) {
         long hash = 0xcbf29ce484222325L;
         for (byte octet : (key + '\n' + address).getBytes(StandardCharsets.UTF_8)) {
--- a/src/main/java/merlinlever/fleet/routes/RouteTable.java
+++ b/src/main/java/merlinlever/fleet/routes/RouteTable.java
@@ -7,12 +7,13 @@
 import java.util.TreeMap;
 
 /**
- * All that one site publishes to another. Of two tables of a site the later by incarnation and then sequence counts.
+ * The routes that one site publishes to another. A table of the same site with a higher incarnation, or with the same
+ * incarnation and a higher sequence, replaces this table.
  *
  * @param site the publisher
- * @param relation what the receiver has in the publisher
- * @param lease how long it may be used from when the publisher was last known to stand by it
- * @param routes by {@link Route#id}; at most {@link #MAX_ROUTES}
+ * @param relation relation of the publisher to the receiver
+ * @param lease how long the receiver may use the table after the publisher last confirmed the table
+ * @param routes the routes by {@link Route#id}; at most {@link #MAX_ROUTES}
  */
 public record RouteTable(
         String site,
@@ -22,7 +23,7 @@
         Duration lease,
         SortedMap<String, Route> routes) {
 
-    /** Upper bound of the routes of one table. */
+    /** Maximum number of routes in one table. */
     public static final int MAX_ROUTES = 16_384;
 
     public static final Duration MIN_LEASE = Duration.ofSeconds(1);
@@ -33,7 +34,7 @@
         routes = Collections.unmodifiableSortedMap(new TreeMap<>(routes));
     }
 
-    /** A table of these routes; of two with one id the last. */
+    /** Creates a table of the routes. If several routes have the same id, the last one is used. */
     public static RouteTable of(
             String site, long incarnation, long sequence, Relation relation, Duration lease, Collection<Route> routes) {
         TreeMap<String, Route> byId = new TreeMap<>();
@@ -41,19 +42,20 @@
         return new RouteTable(site, incarnation, sequence, relation, lease, byId);
     }
 
-    /** Whether it has a higher incarnation, or the same and a higher sequence. */
+    /** Whether this table has a higher incarnation, or the same incarnation and a higher sequence. */
     public boolean isLaterThan(RouteTable other) {
         return incarnation != other.incarnation ? incarnation > other.incarnation : sequence > other.sequence;
     }
 
-    /** Whether it has the same incarnation and sequence. */
+    /** Whether both tables have the same incarnation and sequence. */
     public boolean isSameVersion(RouteTable other) {
         return incarnation == other.incarnation && sequence == other.sequence;
     }
 
     /**
-     * What both this table and the other allow, under the later version of the two; but for that the same in any order. So a
-     * tighter restriction or a withdrawal holds at once where a looser one or a new route may not be adopted yet.
+     * Returns a table that permits only what both tables permit, with the later version of the two. The routes of the
+     * result do not depend on the order of the operands. The intersection applies withdrawals and tighter
+     * restrictions at once, even while new routes and looser restrictions may not be adopted.
      */
     public RouteTable intersect(RouteTable other) {
         TreeMap<String, Route> inBoth = new TreeMap<>();
--- a/src/main/java/merlinlever/fleet/routes/RouteTableReader.java
+++ b/src/main/java/merlinlever/fleet/routes/RouteTableReader.java
@@ -14,12 +14,13 @@
 import merlinlever.common.json.Json;
 
 /**
- * Reads a partner's table from JSON. A fault in its head costs the table, a fault in a route that route; whatever of a route's
- * restrictions is not understood may forbid something, and so forbids the route.
+ * Reads a partner's table from JSON. An error in the fields of the table makes the whole table unusable, an error in
+ * a route only that route. A route whose restrictions cannot be parsed is forbidden, as the unknown part might forbid
+ * its use.
  */
 public final class RouteTableReader {
 
-    /** A table that cannot be used at all. */
+    /** Thrown if a table cannot be used at all. */
     public static final class UnusableTableException extends Exception {
         private static final long serialVersionUID = 1;
 
@@ -29,11 +30,11 @@
     }
 
     /**
-     * What was read.
+     * A table and the errors in its routes.
      *
-     * @param faults one line for each route that is not used as it was said, 50 at most
+     * @param routeErrors one line for each route that is ignored or forbidden because of an error, at most 50
      */
-    public record ParsedTable(RouteTable table, List<String> faults) {}
+    public record ParsedTable(RouteTable table, List<String> routeErrors) {}
 
     private static final class InvalidFieldException extends Exception {
         private static final long serialVersionUID = 1;
@@ -43,23 +44,23 @@
         }
     }
 
-    /** Upper bound of the length of a table. */
+    /** Maximum length of the JSON text of a table. */
     public static final int MAX_CHARACTERS = 8 << 20;
 
     public static final int MAX_CALLS_PER_SECOND = 100_000;
     static final int MAX_COST = 1_000_000;
-    private static final int MAX_NAMED_SITES = 64;
-    private static final int MAX_FAULTS = 50;
+    private static final int MAX_LISTED_SITES = 64;
+    private static final int MAX_ROUTE_ERRORS = 50;
     private static final int MAX_SHOWN_CHARACTERS = 40;
     private static final int MAX_PORT = 65_535;
     private static final int MAX_OCTET = 255;
     private static final long MAX_VERSION = 1L << 52;
     private static final String DEFAULT_GROUP = "records";
-    private static final Pattern SITE = Pattern.compile("[a-z0-9-]{1,20}");
-    private static final Pattern WORD = Pattern.compile("[!-.0-~]{1,40}");
+    private static final Pattern SITE_NAME = Pattern.compile("[a-z0-9-]{1,20}");
+    private static final Pattern NAME = Pattern.compile("[!-.0-~]{1,40}");
     private static final Pattern ADDRESS =
             Pattern.compile("([0-9]{1,3})\\.([0-9]{1,3})\\.([0-9]{1,3})\\.([0-9]{1,3}):([0-9]{1,5})");
-    private static final Set<String> HEAD_FIELDS =
+    private static final Set<String> TABLE_FIELDS =
             Set.of("site", "incarnation", "sequence", "relation", "lease-ms", "routes");
     private static final Set<String> ROUTE_FIELDS =
             Set.of("tariff", "group", "place", "calls", "cost", "binding", "path", "down-from", "restrictions");
@@ -71,110 +72,110 @@
     /**
      * Reads a table.
      *
-     * @throws UnusableTableException if the text is no JSON, or its head has a fault
+     * @throws UnusableTableException if the text is not valid JSON, or a field of the table is invalid
      */
     public static ParsedTable read(String text) throws UnusableTableException {
         if (text.length() > MAX_CHARACTERS) {
-            throw new UnusableTableException("the table has over " + MAX_CHARACTERS + " characters", null);
+            throw new UnusableTableException("route table is longer than " + MAX_CHARACTERS + " characters", null);
         }
         try {
             return readTable(Json.strictObject(text));
         } catch (Json.MalformedJsonException | InvalidFieldException e) {
-            throw new UnusableTableException("the table: " + e.getMessage(), e);
+            throw new UnusableTableException("route table is invalid: " + e.getMessage(), e);
         }
     }
 
-    private static ParsedTable readTable(Map<?, ?> head) throws InvalidFieldException {
-        requireKnownNames(head, HEAD_FIELDS);
-        String site = word(head, "site", SITE);
-        long incarnation = number(head, "incarnation", 0, MAX_VERSION);
-        long sequence = number(head, "sequence", 0, MAX_VERSION);
-        Relation relation = relation(word(head, "relation", WORD));
+    private static ParsedTable readTable(Map<?, ?> tableFields) throws InvalidFieldException {
+        requireKnownFields(tableFields, TABLE_FIELDS);
+        String site = string(tableFields, "site", SITE_NAME);
+        long incarnation = integer(tableFields, "incarnation", 0, MAX_VERSION);
+        long sequence = integer(tableFields, "sequence", 0, MAX_VERSION);
+        Relation relation = relation(string(tableFields, "relation", NAME));
         Duration lease = Duration.ofMillis(
-                number(head, "lease-ms", RouteTable.MIN_LEASE.toMillis(), RouteTable.MAX_LEASE.toMillis()));
-        if (!(head.get("routes") instanceof List<?> list)) {
-            throw new InvalidFieldException("'routes' is no list");
+                integer(tableFields, "lease-ms", RouteTable.MIN_LEASE.toMillis(), RouteTable.MAX_LEASE.toMillis()));
+        if (!(tableFields.get("routes") instanceof List<?> list)) {
+            throw new InvalidFieldException("'routes' is not a list");
         }
         if (list.size() > RouteTable.MAX_ROUTES) {
-            throw new InvalidFieldException("over " + RouteTable.MAX_ROUTES + " routes");
+            throw new InvalidFieldException("table has more than " + RouteTable.MAX_ROUTES + " routes");
         }
-        List<String> faults = new ArrayList<>();
-        TreeMap<String, Route> routes = readRoutes(list, faults);
-        return new ParsedTable(new RouteTable(site, incarnation, sequence, relation, lease, routes), faults);
+        List<String> routeErrors = new ArrayList<>();
+        TreeMap<String, Route> routes = readRoutes(list, routeErrors);
+        return new ParsedTable(new RouteTable(site, incarnation, sequence, relation, lease, routes), routeErrors);
     }
 
-    private static TreeMap<String, Route> readRoutes(List<?> list, List<String> faults) {
+    private static TreeMap<String, Route> readRoutes(List<?> list, List<String> routeErrors) {
         TreeMap<String, Route> routes = new TreeMap<>();
         Set<String> duplicates = new HashSet<>();
         for (int i = 0; i < list.size(); i++) {
             try {
                 Route route = route(list.get(i));
                 if (route.restrictions().unreadable()) {
-                    addFault(faults, i, "its restrictions are not understood, so it is forbidden");
+                    addRouteError(routeErrors, i, "restrictions cannot be parsed; the route is forbidden");
                 }
                 if (routes.put(route.id(), route) != null) {
                     duplicates.add(route.id());
-                    throw new InvalidFieldException("the same route came before; neither is taken");
+                    throw new InvalidFieldException("duplicate route; all copies are ignored");
                 }
             } catch (InvalidFieldException e) {
-                addFault(faults, i, e.getMessage());
+                addRouteError(routeErrors, i, e.getMessage());
             }
         }
         duplicates.forEach(routes::remove);
         return routes;
     }
 
-    private static void addFault(List<String> faults, int index, String message) {
-        if (faults.size() < MAX_FAULTS) {
-            faults.add("routes[" + index + "]: " + message);
+    private static void addRouteError(List<String> routeErrors, int index, String message) {
+        if (routeErrors.size() < MAX_ROUTE_ERRORS) {
+            routeErrors.add("routes[" + index + "]: " + message);
         }
     }
 
     private static Route route(Object value) throws InvalidFieldException {
-        if (!(value instanceof Map<?, ?> map)) {
-            throw new InvalidFieldException("not an object");
+        if (!(value instanceof Map<?, ?> object)) {
+            throw new InvalidFieldException("route is not an object");
         }
-        requireKnownNames(map, ROUTE_FIELDS);
-        String address = word(map, "place", ADDRESS);
+        requireKnownFields(object, ROUTE_FIELDS);
+        String address = string(object, "place", ADDRESS);
         if (!isAddress(address)) {
-            throw new InvalidFieldException("'place' is no address and port: " + address);
+            throw new InvalidFieldException("'place' is not a valid ADDRESS:PORT: " + address);
         }
-        List<String> path = sites(map.get("path"), "path", Restrictions.MAX_PATH_LENGTH);
+        List<String> path = sites(object.get("path"), "path", Restrictions.MAX_PATH_LENGTH);
         if (path.isEmpty()) {
             throw new InvalidFieldException("'path' is empty");
         }
-        String onlyToCustomerSite = map.get("down-from") == null ? null : word(map, "down-from", SITE);
+        String onlyToCustomerSite = object.get("down-from") == null ? null : string(object, "down-from", SITE_NAME);
         return new Route(
-                word(map, "tariff", WORD),
-                map.containsKey("group") ? word(map, "group", WORD) : DEFAULT_GROUP,
+                string(object, "tariff", NAME),
+                object.containsKey("group") ? string(object, "group", NAME) : DEFAULT_GROUP,
                 address,
-                (int) number(map, "calls", 1, MAX_CALLS_PER_SECOND),
-                (int) number(map, "cost", 0, MAX_COST),
-                flag(map, "binding"),
+                (int) integer(object, "calls", 1, MAX_CALLS_PER_SECOND),
+                (int) integer(object, "cost", 0, MAX_COST),
+                booleanValue(object, "binding"),
                 path,
                 onlyToCustomerSite,
-                map.containsKey("restrictions") ? restrictions(map.get("restrictions")) : Restrictions.NONE);
+                object.containsKey("restrictions") ? restrictions(object.get("restrictions")) : Restrictions.NONE);
     }
 
-    /** What is not understood without a doubt forbids everything. */
+    /** Returns {@link Restrictions#UNREADABLE}, which forbids everything, if any part of the value is invalid. */
     private static Restrictions restrictions(Object value) {
         try {
-            if (!(value instanceof Map<?, ?> map)) {
+            if (!(value instanceof Map<?, ?> object)) {
                 return Restrictions.UNREADABLE;
             }
-            requireKnownNames(map, RESTRICTION_FIELDS);
-            SortedSet<String> allowedSites = map.containsKey("only-to") ? siteSet(map, "only-to") : null;
-            SortedSet<String> deniedSites = map.containsKey("not-to") ? siteSet(map, "not-to") : new TreeSet<>();
-            int maxPathLength = map.containsKey("most-sites")
-                    ? (int) number(map, "most-sites", 1, Restrictions.MAX_PATH_LENGTH)
+            requireKnownFields(object, RESTRICTION_FIELDS);
+            SortedSet<String> allowedSites = object.containsKey("only-to") ? siteSet(object, "only-to") : null;
+            SortedSet<String> deniedSites = object.containsKey("not-to") ? siteSet(object, "not-to") : new TreeSet<>();
+            int maxPathLength = object.containsKey("most-sites")
+                    ? (int) integer(object, "most-sites", 1, Restrictions.MAX_PATH_LENGTH)
                     : Restrictions.MAX_PATH_LENGTH;
             return new Restrictions(
                     allowedSites,
                     deniedSites,
-                    flag(map, "no-further"),
+                    booleanValue(object, "no-further"),
                     maxPathLength,
-                    flag(map, "retriable-only"),
-                    flag(map, "customers-only"),
+                    booleanValue(object, "retriable-only"),
+                    booleanValue(object, "customers-only"),
                     false);
         } catch (InvalidFieldException e) {
             return Restrictions.UNREADABLE;
@@ -182,16 +183,16 @@
     }
 
     private static boolean isAddress(String text) {
-        Matcher parts = ADDRESS.matcher(text);
-        if (!parts.matches()) {
+        Matcher matcher = ADDRESS.matcher(text);
+        if (!matcher.matches()) {
             return false;
         }
-        int port = Integer.parseInt(parts.group(5));
+        int port = Integer.parseInt(matcher.group(5));
         if (port == 0 || port > MAX_PORT) {
             return false;
         }
         for (int i = 1; i <= 4; i++) {
-            if (Integer.parseInt(parts.group(i)) > MAX_OCTET) {
+            if (Integer.parseInt(matcher.group(i)) > MAX_OCTET) {
                 return false;
             }
         }
@@ -204,60 +205,60 @@
                 return relation;
             }
         }
-        throw new InvalidFieldException("'relation' is customer, peer or provider");
+        throw new InvalidFieldException("'relation' must be customer, peer or provider");
     }
 
-    /** Whether it can be a site's name. */
-    public static boolean isSite(String text) {
-        return SITE.matcher(text).matches();
+    /** Whether the text is a valid site name. */
+    public static boolean isSiteName(String text) {
+        return SITE_NAME.matcher(text).matches();
     }
 
-    private static void requireKnownNames(Map<?, ?> map, Set<String> names) throws InvalidFieldException {
-        for (Object name : map.keySet()) {
+    private static void requireKnownFields(Map<?, ?> object, Set<String> names) throws InvalidFieldException {
+        for (Object name : object.keySet()) {
             if (!names.contains(name)) {
                 String text = String.valueOf(name);
                 String shown = text.substring(0, Math.min(MAX_SHOWN_CHARACTERS, text.length()));
-                throw new InvalidFieldException("'" + shown.replaceAll("[^ -~]", "?") + "' is not known");
+                throw new InvalidFieldException("unknown field '" + shown.replaceAll("[^ -~]", "?") + "'");
             }
         }
     }
 
-    private static String word(Map<?, ?> map, String name, Pattern form) throws InvalidFieldException {
-        if (map.get(name) instanceof String text && form.matcher(text).matches()) {
+    private static String string(Map<?, ?> object, String name, Pattern pattern) throws InvalidFieldException {
+        if (object.get(name) instanceof String text && pattern.matcher(text).matches()) {
             return text;
         }
-        throw new InvalidFieldException("'" + name + "' is missing or not of the form " + form.pattern());
+        throw new InvalidFieldException("'" + name + "' is missing or does not match " + pattern.pattern());
     }
 
-    private static long number(Map<?, ?> map, String name, long min, long max) throws InvalidFieldException {
-        if (map.get(name) instanceof Long number && number >= min && number <= max) {
-            return number;
+    private static long integer(Map<?, ?> object, String name, long min, long max) throws InvalidFieldException {
+        if (object.get(name) instanceof Long integer && integer >= min && integer <= max) {
+            return integer;
         }
-        throw new InvalidFieldException("'" + name + "' is no whole number from " + min + " to " + max);
+        throw new InvalidFieldException("'" + name + "' is not an integer from " + min + " to " + max);
     }
 
-    private static boolean flag(Map<?, ?> map, String name) throws InvalidFieldException {
-        if (!map.containsKey(name)) {
+    private static boolean booleanValue(Map<?, ?> object, String name) throws InvalidFieldException {
+        if (!object.containsKey(name)) {
             return false;
         }
-        if (map.get(name) instanceof Boolean flag) {
-            return flag;
+        if (object.get(name) instanceof Boolean booleanValue) {
+            return booleanValue;
         }
-        throw new InvalidFieldException("'" + name + "' is neither true nor false");
+        throw new InvalidFieldException("'" + name + "' is not a boolean");
     }
 
-    private static SortedSet<String> siteSet(Map<?, ?> map, String name) throws InvalidFieldException {
-        return new TreeSet<>(sites(map.get(name), name, MAX_NAMED_SITES));
+    private static SortedSet<String> siteSet(Map<?, ?> object, String name) throws InvalidFieldException {
+        return new TreeSet<>(sites(object.get(name), name, MAX_LISTED_SITES));
     }
 
     private static List<String> sites(Object value, String name, int max) throws InvalidFieldException {
         if (!(value instanceof List<?> list) || list.size() > max) {
-            throw new InvalidFieldException("'" + name + "' is no list of at most " + max + " sites");
+            throw new InvalidFieldException("'" + name + "' is not a list of at most " + max + " sites");
         }
         List<String> sites = new ArrayList<>();
         for (Object element : list) {
-            if (!(element instanceof String site) || !isSite(site)) {
-                throw new InvalidFieldException("'" + name + "' names what is no site");
+            if (!(element instanceof String site) || !isSiteName(site)) {
+                throw new InvalidFieldException("'" + name + "' contains an invalid site name");
             }
             sites.add(site);
         }
--- a/src/main/java/merlinlever/fleet/routes/RouteTableWriter.java
+++ b/src/main/java/merlinlever/fleet/routes/RouteTableWriter.java
@@ -8,14 +8,14 @@
 import java.util.stream.Collectors;
 import merlinlever.common.json.Json;
 
-/** Writes a table as JSON that {@link RouteTableReader} reads, the same text for the same table. */
+/** Writes a table as JSON for {@link RouteTableReader}. Equal tables have the same text. */
 public final class RouteTableWriter {
 
     private static final int DIGEST_BYTES = 16;
 
     private RouteTableWriter() {}
 
-    /** The table as text, one route a line. */
+    /** Returns the table as JSON text with one route per line. */
     public static String write(RouteTable table) {
         StringBuilder text = new StringBuilder();
         text.append("{\"site\":").append(Json.quoted(table.site()));
@@ -79,14 +79,14 @@
         return sites.stream().map(Json::quoted).collect(Collectors.joining(",", "[", "]"));
     }
 
-    /** Tells two tables of one version apart. */
+    /** Digest of the JSON text, which distinguishes different tables with the same version. */
     public static String digest(RouteTable table) {
         try {
             byte[] hash =
                     MessageDigest.getInstance("SHA-256").digest(write(table).getBytes(StandardCharsets.UTF_8));
             return HexFormat.of().formatHex(hash, 0, DIGEST_BYTES);
         } catch (NoSuchAlgorithmException e) {
-            throw new IllegalStateException("every Java platform has SHA-256", e);
+            throw new IllegalStateException("SHA-256 is not available", e);
         }
     }
 }
--- a/src/main/java/merlinlever/fleet/routes/RoutingPolicy.java
+++ b/src/main/java/merlinlever/fleet/routes/RoutingPolicy.java
@@ -8,26 +8,29 @@
 import merlinlever.common.WireNamed;
 
 /**
- * Which routes of a partner may be used, and which may be exported to another. A test can leave out each rule, to show that it
- * is needed. Immutable.
+ * Rules for the routes of partners that a site may use, and for the routes that it may export to a partner. Tests can
+ * disable single rules to verify that each rule is necessary. Immutable.
  */
 public final class RoutingPolicy {
 
-    /** Why a route of a partner may not be used. */
+    /** A rule that forbids the use of a partner's route. */
     enum ImportRule implements WireNamed {
-        /** Its restrictions were not understood. */
+        /** The restrictions of the route could not be parsed. */
         UNREADABLE("unreadable"),
-        /** Its path begins at another site than the publisher. */
-        FIRST("first"),
-        /** It comes back to this site or passes one twice (RFC 4271). */
+        /** The first site on the path is not the publisher. */
+        FIRST_SITE_MISMATCH("first"),
+        /** The path contains this site, or a site twice (RFC 4271). */
         LOOP("loop"),
-        /** Its origin does not let this site have it. */
-        NOT_HERE("not-here"),
-        /** It was not to be exported. */
+        /** The origin does not allow this site to use the route. */
+        SITE_NOT_ALLOWED("not-here"),
+        /** The origin does not allow re-export, but the route was re-exported. */
         NO_EXPORT("no-further"),
-        /** More sites on the path than its origin allows. */
-        TOO_LONG("too-long"),
-        /** It went to a peer or customer before, and the publisher is not this site's provider (RFC 7908, RFC 9234). */
+        /** The path has more sites than the origin allows. */
+        PATH_TOO_LONG("too-long"),
+        /**
+         * Route leak: the publisher is not a provider of this site, but the route was already exported to a peer or
+         * customer (RFC 7908, RFC 9234).
+         */
         LEAK("leak");
 
         private final String wireName;
@@ -43,19 +46,22 @@
         }
     }
 
-    /** Why a route may not be exported. */
+    /** A rule that forbids the export of a route. */
     enum ExportRule {
-        /** The receiver is on its path. */
-        BACK,
-        /** The origin does not let the receiver have it. */
-        NOT_THERE,
-        /** The origin does not let anybody export it. */
+        /** The receiver is on the path. */
+        RECEIVER_ON_PATH,
+        /** The origin does not allow the receiver to use the route. */
+        RECEIVER_NOT_ALLOWED,
+        /** The origin does not allow re-export. */
         NO_EXPORT,
-        /** More sites on the path than its origin allows. */
-        TOO_LONG,
-        /** The origin lets it be exported only to customers. */
+        /** The path would have more sites than the origin allows. */
+        PATH_TOO_LONG,
+        /** The origin allows export only to customers. */
         CUSTOMERS_ONLY,
-        /** What is not a customer's goes to customers alone (Gao and Rexford 2001). */
+        /**
+         * Routes of peers and providers may be exported only to customers (valley-free routing, Gao and Rexford
+         * 2001).
+         */
         VALLEY
     }
 
@@ -64,7 +70,7 @@
     private final Set<ExportRule> exportRules;
 
     /**
-     * The policy of a site, with all rules.
+     * Creates the policy of a site with all rules.
      *
      * @param self name of this site
      */
@@ -72,13 +78,13 @@
         this(self, EnumSet.noneOf(ImportRule.class), EnumSet.noneOf(ExportRule.class));
     }
 
-    /** For tests: without some of the rules. */
-    RoutingPolicy(String self, Set<ImportRule> withoutImport, Set<ExportRule> withoutExport) {
+    /** Creates a policy without some of the rules, for tests. */
+    RoutingPolicy(String self, Set<ImportRule> disabledImportRules, Set<ExportRule> disabledExportRules) {
         this.self = self;
         importRules = EnumSet.allOf(ImportRule.class);
-        importRules.removeAll(withoutImport);
+        importRules.removeAll(disabledImportRules);
         exportRules = EnumSet.allOf(ExportRule.class);
-        exportRules.removeAll(withoutExport);
+        exportRules.removeAll(disabledExportRules);
     }
 
     /** Name of this site. */
@@ -86,7 +92,7 @@
         return self;
     }
 
-    /** The first rule that forbids to use a partner's route, or null. */
+    /** Returns the first rule that forbids the use of a partner's route, or null. */
     ImportRule findImportViolation(String partner, Relation relation, Route route) {
         for (ImportRule rule : importRules) {
             if (violatesImport(rule, partner, relation, route)) {
@@ -99,33 +105,33 @@
     private boolean violatesImport(ImportRule rule, String partner, Relation relation, Route route) {
         Restrictions restrictions = route.restrictions();
         List<String> path = route.path();
-        boolean wasExportedOn = path.size() > 1;
+        boolean wasReExported = path.size() > 1;
         return switch (rule) {
             case UNREADABLE -> restrictions.unreadable();
-            case FIRST -> !path.get(0).equals(partner);
+            case FIRST_SITE_MISMATCH -> !path.get(0).equals(partner);
             case LOOP -> path.contains(self) || new HashSet<>(path).size() < path.size();
-            case NOT_HERE -> !isAllowedHere(restrictions);
-            case NO_EXPORT -> restrictions.noExport() && wasExportedOn;
-            case TOO_LONG -> path.size() > Math.min(restrictions.maxPathLength(), Restrictions.MAX_PATH_LENGTH);
+            case SITE_NOT_ALLOWED -> !allowsThisSite(restrictions);
+            case NO_EXPORT -> restrictions.noExport() && wasReExported;
+            case PATH_TOO_LONG -> path.size() > Math.min(restrictions.maxPathLength(), Restrictions.MAX_PATH_LENGTH);
             case LEAK -> isLeak(partner, relation, route)
-                    || (relation != Relation.PROVIDER && restrictions.customersOnly() && wasExportedOn);
+                    || (relation != Relation.PROVIDER && restrictions.customersOnly() && wasReExported);
         };
     }
 
-    /** Whatever else they say: unreadable ones break another rule. */
-    private boolean isAllowedHere(Restrictions restrictions) {
+    /** Whether the site lists allow this site. Unreadable restrictions violate another rule. */
+    private boolean allowsThisSite(Restrictions restrictions) {
         return (restrictions.allowedSites() == null
                         || restrictions.allowedSites().contains(self))
                 && !restrictions.deniedSites().contains(self);
     }
 
     private static boolean isLeak(String partner, Relation relation, Route route) {
-        String marked = route.onlyToCustomerSite();
-        return (relation == Relation.CUSTOMER && marked != null)
-                || (relation == Relation.PEER && marked != null && !marked.equals(partner));
+        String mark = route.onlyToCustomerSite();
+        return (relation == Relation.CUSTOMER && mark != null)
+                || (relation == Relation.PEER && mark != null && !mark.equals(partner));
     }
 
-    /** The route as it is kept: one of a provider or peer without a mark gets one (RFC 9234, section 5). */
+    /** Marks a route from a provider or peer with the partner unless the route has a mark (RFC 9234, section 5). */
     static Route markOnImport(String partner, Relation relation, Route route) {
         return relation == Relation.CUSTOMER || route.onlyToCustomerSite() != null
                 ? route
@@ -133,14 +139,16 @@
     }
 
     /**
-     * The first rule that forbids to export a route, or null.
+     * Returns the first rule that forbids the export of a route, or null.
      *
-     * @param source what the partner that published it is to this site; null for this site's own routes
-     * @param receiverRelation what the receiver is to this site
+     * @param publisherRelation relation of the partner that published the route to this site; null for this site's
+     *     own routes
+     * @param receiverRelation relation of the receiver to this site
      */
-    ExportRule findExportViolation(Relation source, Route route, String receiver, Relation receiverRelation) {
+    ExportRule findExportViolation(
+            Relation publisherRelation, Route route, String receiver, Relation receiverRelation) {
         for (ExportRule rule : exportRules) {
-            if (violatesExport(rule, source, route, receiver, receiverRelation)) {
+            if (violatesExport(rule, publisherRelation, route, receiver, receiverRelation)) {
                 return rule;
             }
         }
@@ -148,25 +156,29 @@
     }
 
     private static boolean violatesExport(
-            ExportRule rule, Relation source, Route route, String receiver, Relation receiverRelation) {
+            ExportRule rule, Relation publisherRelation, Route route, String receiver, Relation receiverRelation) {
         Restrictions restrictions = route.restrictions();
-        boolean isOwn = source == null;
-        // The path of an own route begins with this site already.
+        boolean isOwn = publisherRelation == null;
+        // The path of an own route already starts with this site.
         int exportedPathLength = route.path().size() + (isOwn ? 0 : 1);
         return switch (rule) {
-            case BACK -> route.path().contains(receiver);
-            case NOT_THERE -> !restrictions.allows(receiver);
+            case RECEIVER_ON_PATH -> route.path().contains(receiver);
+            case RECEIVER_NOT_ALLOWED -> !restrictions.allows(receiver);
             case NO_EXPORT -> !isOwn && restrictions.noExport();
-            case TOO_LONG -> exportedPathLength > Math.min(restrictions.maxPathLength(), Restrictions.MAX_PATH_LENGTH);
+            case PATH_TOO_LONG -> exportedPathLength
+                    > Math.min(restrictions.maxPathLength(), Restrictions.MAX_PATH_LENGTH);
             case CUSTOMERS_ONLY -> !isOwn && restrictions.customersOnly() && receiverRelation != Relation.CUSTOMER;
             case VALLEY -> !isOwn
                     && receiverRelation != Relation.CUSTOMER
-                    && (source != Relation.CUSTOMER || route.onlyToCustomerSite() != null);
+                    && (publisherRelation != Relation.CUSTOMER || route.onlyToCustomerSite() != null);
         };
     }
 
-    /** The route as it is exported: through this site, and marked where it goes to a peer or customer (RFC 9234, section 5). */
-    Route toExported(Route route, RouteExporter.Terms terms) {
+    /**
+     * Returns the route as this site re-exports it: this site is prepended to the path, and the route is marked for
+     * export to a peer or customer (RFC 9234, section 5).
+     */
+    Route toExported(Route route, RouteExporter.ExportTerms terms) {
         List<String> path = new ArrayList<>();
         path.add(self);
         path.addAll(route.path());
--- a/src/main/java/merlinlever/fleet/routes/RoutingTable.java
+++ b/src/main/java/merlinlever/fleet/routes/RoutingTable.java
@@ -12,31 +12,31 @@
 import merlinlever.fleet.view.GuardedAction;
 
 /**
- * All that one backend knows of its partners' routes: their tables, how long each is valid, which routes may be used, and which may
- * be exported. Times are since the process began. Not thread-safe.
+ * The routes of all partners as known to one backend: the partners' tables and their leases, the routes that may be
+ * used, and the routes that may be exported. Times are durations since the start of the process. Not thread-safe.
  */
 public final class RoutingTable {
 
-    /** A partner, and what it is to this site. */
+    /** A partner and its relation to this site. */
     public record PartnerSettings(String site, Relation relation) {}
 
     /**
-     * What is held of a partner's table, for peers.
+     * Version, digest and remaining lease of a partner's table, for the exchange with peers.
      *
-     * @param remaining how long it is still valid
+     * @param remaining remaining lease time
      */
     public record TableLease(String site, long incarnation, long sequence, String digest, Duration remaining) {}
 
     /**
-     * The partner surely stood by a version of its table at a moment, or later.
+     * A renewal of the lease of a partner's table, after the partner confirmed the given version of the table.
      *
-     * @param confirmedAt that moment, by this process's clock
-     * @param duration how long the table may be used from then
+     * @param confirmedAt start of the new lease by the clock of this process, no later than the confirmation
+     * @param duration duration of the new lease
      */
     public record Renewal(
             String site, long incarnation, long sequence, String digest, Duration confirmedAt, Duration duration) {
 
-        /** The partner stood by this table. */
+        /** Creates a renewal for a table that the partner confirmed, with the lease of the table. */
         public static Renewal of(RouteTable table, Duration confirmedAt) {
             return new Renewal(
                     table.site(),
@@ -48,7 +48,7 @@
         }
     }
 
-    /** Upper bound of the partners. */
+    /** Maximum number of partners. */
     public static final int MAX_PARTNERS = 64;
 
     private static final int MAX_REJECTED_ROUTES_LOGGED = 20;
@@ -59,14 +59,14 @@
     private final Map<String, PartnerTable> partners = new TreeMap<>();
     private final FleetView fleetView;
     private final EventLog log;
-    private long edition;
+    private long revision;
 
     /**
-     * A table of routes that knows nothing of its partners yet.
+     * Creates a routing table without routes.
      *
-     * @param clockDrift upper bound of the fraction by which two clocks run apart
-     * @param log takes one line an event
-     * @throws IllegalArgumentException if there are more than {@link #MAX_PARTNERS}
+     * @param clockDrift maximum relative rate difference between two clocks
+     * @param log receives the events of the routing table
+     * @throws IllegalArgumentException if there are more than {@link #MAX_PARTNERS} partners
      */
     public RoutingTable(
             RoutingPolicy policy,
@@ -81,7 +81,7 @@
         merger = new RouteMerger(policy);
         damping = new FlapDamping(dampingSettings);
         if (partners.size() > MAX_PARTNERS) {
-            throw new IllegalArgumentException("over " + MAX_PARTNERS + " partners");
+            throw new IllegalArgumentException("more than " + MAX_PARTNERS + " partners");
         }
         for (PartnerSettings partner : partners) {
             this.partners.put(partner.site(), new PartnerTable(partner.site(), partner.relation(), clockDrift));
@@ -93,7 +93,7 @@
         return policy.self();
     }
 
-    /** Names of the partners, in order. */
+    /** Names of the partners, in alphabetical order. */
     public Collection<String> partners() {
         return partners.keySet();
     }
@@ -103,11 +103,12 @@
     }
 
     /**
-     * Takes in a partner's table, from it or from a peer; it is used once it is known that the partner stands by it.
+     * Handles a partner's table that was received from the partner or from a peer. The routes are used after {@link
+     * #renew} has started the lease of the table.
      *
-     * @return whether it is later than the one that was known
+     * @return whether the table is later than the latest known table
      */
-    @SuppressWarnings("ReferenceEquality") // the latest table is another object exactly when it was replaced
+    @SuppressWarnings("ReferenceEquality") // the latest table is a different object exactly if it was replaced
     public boolean offer(Duration now, RouteTable table) {
         PartnerTable partner = partners.get(table.site());
         if (partner == null) {
@@ -117,23 +118,25 @@
         RouteTable latest = partner.latest();
         boolean changed = partner.offer(now, table, RouteTableWriter.digest(table), mayWiden(now), log);
         if (changed) {
-            apply(now, partner, dampingListener(now, partner.site()));
+            mergeActiveTable(now, partner, dampingListener(now, partner.site()));
         }
         return changed && partner.latest() != latest;
     }
 
-    /** Logs the first rejected routes, and counts withdrawals and changes. */
+    /**
+     * Returns a listener that logs rejected routes up to a limit and reports withdrawals and changes to the damping.
+     */
     private RouteMerger.RouteListener dampingListener(Duration now, String partner) {
         return new RouteMerger.RouteListener() {
-            private int lines;
+            private int rejectedRoutes;
 
             @Override
             public void onRejected(Route route, String rule) {
-                if (lines < MAX_REJECTED_ROUTES_LOGGED) {
+                if (rejectedRoutes < MAX_REJECTED_ROUTES_LOGGED) {
                     log.line("route-rejected partner=" + partner + " route=" + route.key() + " path="
                             + String.join(">", route.path()) + " rule=" + rule);
                 }
-                lines++;
+                rejectedRoutes++;
             }
 
             @Override
@@ -152,20 +155,20 @@
         return partner + " " + route.id();
     }
 
-    @SuppressWarnings("ReferenceEquality") // comparing thousands of routes at each tick would cost too much
-    private void apply(Duration now, PartnerTable partner, RouteMerger.RouteListener listener) {
+    @SuppressWarnings("ReferenceEquality") // comparing thousands of routes at each tick would be too expensive
+    private void mergeActiveTable(Duration now, PartnerTable partner, RouteMerger.RouteListener listener) {
         RouteTable active = partner.active(now);
         if (active == merger.table(partner.site())) {
             return;
         }
-        edition++;
+        revision++;
         if (!merger.replaceTable(partner.site(), partner.relation(), active, listener)) {
             log.line("route-table-rejected partner=" + partner.site() + " reason=too-many-routes");
             merger.replaceTable(partner.site(), partner.relation(), null, RouteMerger.NO_LISTENER);
         }
     }
 
-    /** Renews the lease of a partner's table; returns whether it is of the version that is known. */
+    /** Renews the lease of a partner's table; returns false if the renewal is not for the latest known table. */
     public boolean renew(Duration now, Renewal renewal) {
         PartnerTable partner = partners.get(renewal.site());
         if (partner == null) {
@@ -181,18 +184,21 @@
             return false;
         }
         adoptWidening(now, partner);
-        apply(now, partner, RouteMerger.NO_LISTENER);
+        mergeActiveTable(now, partner, RouteMerger.NO_LISTENER);
         return true;
     }
 
-    /** Drops what is no longer valid, and adopts what was held back where that is permitted; to be called every few ms. */
+    /**
+     * Removes the routes of expired tables and adopts deferred routes if permitted. The caller should call this
+     * method every few milliseconds.
+     */
     public void tick(Duration now) {
         for (PartnerTable partner : partners.values()) {
             partner.expire(now);
             if (partner.active(now) != null) {
                 adoptWidening(now, partner);
             }
-            apply(now, partner, RouteMerger.NO_LISTENER);
+            mergeActiveTable(now, partner, RouteMerger.NO_LISTENER);
         }
     }
 
@@ -208,7 +214,10 @@
                 && !damping.isSuppressed(now, dampingKey(candidate.partner(), candidate.route()));
     }
 
-    /** The usable candidates of a key, best first, stale ones last; empty where this backend may not use routes. */
+    /**
+     * The usable candidates of a key in order of preference, with the candidates of stale tables last. Empty if this
+     * backend may not use routes.
+     */
     public List<RouteMerger.Candidate> candidates(Duration now, String key) {
         if (fleetView.permission(now, GuardedAction.USE_ADOPTED) == ActionPermissions.Permission.DENIED) {
             return List.of();
@@ -218,7 +227,7 @@
         for (RouteMerger.Candidate candidate : merger.candidates(key)) {
             if (isUsable(now, candidate)) {
                 (isStale(now, candidate.partner()) ? stale : fresh).add(candidate);
-                if (fresh.size() + stale.size() >= RouteMerger.MAX_ALTERNATIVES) {
+                if (fresh.size() + stale.size() >= RouteMerger.MAX_CANDIDATES_PER_KEY) {
                     break;
                 }
             }
@@ -227,12 +236,12 @@
         return fresh;
     }
 
-    /** Whether more than half of the lease of a partner's table is over. */
+    /** Whether more than half of the lease of a partner's table has passed. */
     public boolean isStale(Duration now, String partner) {
         return partners.get(partner).isStale(now);
     }
 
-    /** What is held of a partner's table; null where nothing is. */
+    /** Version and remaining lease of a partner's table, or null if no table is known. */
     public TableLease lease(Duration now, String site) {
         PartnerTable partner = partners.get(site);
         if (partner == null || partner.latest() == null) {
@@ -242,22 +251,23 @@
         return new TableLease(site, latest.incarnation(), latest.sequence(), partner.digest(), partner.remaining(now));
     }
 
-    /** The latest table of a partner, active or not; null where there is none. */
+    /** The latest table of a partner, whether active or not; null if no table is known. */
     public RouteTable latestTable(String partner) {
         return partners.get(partner).latest();
     }
 
-    /** Whether two tables came under the latest version of a partner. */
+    /** Whether two different tables with the latest version of a partner were received. */
     public boolean isConflicting(String partner) {
         return partners.get(partner).isConflicting();
     }
 
     /**
-     * What this site's own table to a partner may hold: its own routes and, for each key, the best that may be exported.
+     * Returns the routes that this site may publish to a partner: its own routes and, for each key, the best partner
+     * route that may be exported.
      *
-     * @param address where this site takes calls of the routes that it exports on
-     * @param maxCallsPerSecond that it takes on each of them
-     * @param addedCost of the way through this site
+     * @param address ADDRESS:PORT at which this site accepts calls for re-exported routes
+     * @param maxCallsPerSecond maximum rate that this site accepts for each re-exported route
+     * @param addedCost cost that this site adds to each re-exported route
      */
     public List<Route> export(
             Duration now,
@@ -267,23 +277,24 @@
             int maxCallsPerSecond,
             int addedCost) {
         Relation relation = partners.get(receiver).relation();
-        RouteExporter.Terms terms = new RouteExporter.Terms(receiver, relation, address, maxCallsPerSecond, addedCost);
+        RouteExporter.ExportTerms terms =
+                new RouteExporter.ExportTerms(receiver, relation, address, maxCallsPerSecond, addedCost);
         return RouteExporter.export(policy, merger, terms, ownRoutes, candidate -> isUsable(now, candidate));
     }
 
-    /** Of all active tables, as text: two backends with the same text decide the same. */
+    /** Returns the candidates of all active tables as text. Two backends with the same text select the same routes. */
     public String describe() {
         return merger.describe();
     }
 
-    /** How many routes all active tables have. */
+    /** Number of routes in all active tables. */
     public int routeCount() {
         return merger.routeCount();
     }
 
-    /** Changes with whatever {@link #candidates} may return, but for the passing of time. */
-    public long edition() {
-        return edition;
+    /** Revision of the active tables. Increases with each change of a partner's active table. */
+    public long revision() {
+        return revision;
     }
 
     List<String> keys() {
--- a/src/main/java/merlinlever/fleet/routes/TableChunks.java
+++ b/src/main/java/merlinlever/fleet/routes/TableChunks.java
@@ -15,12 +15,13 @@
 import merlinlever.fleet.replication.VersionedEntry;
 
 /**
- * A table as entries that the backends replicate: deflated, and split where it is longer than an entry may be. It is assembled
- * only when all chunks of one version are there and make the table that the digest says. Not thread-safe.
+ * Splits a table into chunks for replication among the backends, and assembles received chunks. The text of the table
+ * is compressed and split by the maximum size of a replicated entry. A table is assembled when all chunks of one
+ * version were received, and is discarded if the digest does not match. Not thread-safe.
  */
 final class TableChunks {
 
-    /** Upper bound of the chunks of a table. */
+    /** Maximum number of chunks of a table. */
     static final int MAX_CHUNKS = 256;
 
     private static final String TOPIC_PREFIX = "routes.";
@@ -30,7 +31,7 @@
     private static final Pattern HEADER = Pattern.compile("[1-9][0-9]{0,2} [0-9a-f]{32}");
     private static final Pattern TOPIC = Pattern.compile("routes\\.[0-9]{1,3}");
 
-    /** The chunks of one version of a partner's table, as far as they came. */
+    /** The chunks of one version of a partner's table that were received so far. */
     private static final class IncompleteTable {
         private final long incarnation;
         private final long sequence;
@@ -62,8 +63,8 @@
         }
     }
 
-    /** By partner: the latest version of which any chunk came. */
-    private final Map<String, IncompleteTable> incomplete = new TreeMap<>();
+    /** The latest version of which a chunk was received, by partner. */
+    private final Map<String, IncompleteTable> incompleteTables = new TreeMap<>();
 
     static String topic(int chunk) {
         return TOPIC_PREFIX + chunk;
@@ -74,7 +75,10 @@
         return entry.topic().startsWith(TOPIC_PREFIX);
     }
 
-    /** The chunks of a table; none where it is too large. Each has a line with their count and the digest in front. */
+    /**
+     * Returns the chunks of a table, or an empty list if the table is too large. Each chunk starts with a header line
+     * that contains the number of chunks and the digest of the table.
+     */
     static List<VersionedEntry> split(RouteTable table) {
         byte[] bytes = deflate(RouteTableWriter.write(table).getBytes(StandardCharsets.UTF_8));
         int count = Math.max(1, (bytes.length + CHUNK_BYTES - 1) / CHUNK_BYTES);
@@ -102,7 +106,7 @@
         return compressed.toByteArray();
     }
 
-    /** Takes in a chunk; returns the table where it was the last that was missing, else null. */
+    /** Handles a received chunk; returns the table if the chunk was the last missing one, else null. */
     RouteTable receive(VersionedEntry chunk) {
         byte[] value = chunk.value();
         if (value == null) {
@@ -115,18 +119,19 @@
         }
         int count = Integer.parseInt(header.substring(0, header.indexOf(' ')));
         int index = Integer.parseInt(chunk.topic().substring(TOPIC_PREFIX.length()));
-        boolean isUnknownPartner = !incomplete.containsKey(chunk.owner());
+        boolean isUnknownPartner = !incompleteTables.containsKey(chunk.owner());
         if (count > MAX_CHUNKS
                 || index >= count
-                || (isUnknownPartner && incomplete.size() >= RoutingTable.MAX_PARTNERS)) {
+                || (isUnknownPartner && incompleteTables.size() >= RoutingTable.MAX_PARTNERS)) {
             return null;
         }
-        IncompleteTable table = incomplete.get(chunk.owner());
-        // Two tables under one version: it begins anew with this one, and the other was taken or will come again.
+        IncompleteTable table = incompleteTables.get(chunk.owner());
+        // Two different tables have the same version: assembly restarts with this table. The other table was already
+        // assembled, or its chunks will be received again.
         boolean isConflicting = table != null && table.isSameVersion(chunk) && !header.equals(table.header);
         if (table == null || isConflicting || table.isOlderThan(chunk)) {
             table = new IncompleteTable(chunk, header, count);
-            incomplete.put(chunk.owner(), table);
+            incompleteTables.put(chunk.owner(), table);
         } else if (!table.isSameVersion(chunk)) {
             return null;
         }
@@ -150,17 +155,17 @@
         try {
             RouteTable table =
                     RouteTableReader.read(inflate(compressed.toByteArray())).table();
-            boolean isAsAnnounced = table.site().equals(site)
+            boolean matchesHeader = table.site().equals(site)
                     && table.incarnation() == complete.incarnation
                     && table.sequence() == complete.sequence
                     && RouteTableWriter.digest(table).equals(complete.digest());
-            return isAsAnnounced ? table : null;
+            return matchesHeader ? table : null;
         } catch (DataFormatException | RouteTableReader.UnusableTableException e) {
             return null;
         }
     }
 
-    /** Stops a little beyond {@link RouteTableReader#MAX_CHARACTERS}, which the reader then refuses. */
+    /** Stops shortly after {@link RouteTableReader#MAX_CHARACTERS}; the reader then rejects the text. */
     private static String inflate(byte[] compressed) throws DataFormatException {
         Inflater inflater = new Inflater();
         try {
--- a/src/main/java/merlinlever/fleet/routes/net/RouteTableFiles.java
+++ b/src/main/java/merlinlever/fleet/routes/net/RouteTableFiles.java
@@ -12,9 +12,10 @@
 import merlinlever.fleet.routes.RoutingTable;
 
 /**
- * Partners' tables as files that a job of the operator replaces whenever it has fetched one from the partner. A file that was
- * rewritten since the last poll shows that the partner stood by it at most a known time before; one that was there at the first
- * poll may be of any age, and renews no lease until it is rewritten. The wall clock does not matter. Not thread-safe.
+ * Reads partners' tables from files. An external job of the operator fetches each table from the partner and replaces
+ * the file. A file that was rewritten since the last poll proves that the partner confirmed the table within a known
+ * time, and renews the lease. A file that exists at the first poll may be of any age, and renews no lease until it is
+ * rewritten. The wall clock is not used. Not thread-safe.
  */
 public final class RouteTableFiles {
 
@@ -25,16 +26,16 @@
     private final Map<String, Path> files;
     private final Duration maxFetchTime;
     private final EventLog log;
-    /** Of each file its time and size as the file system has them, which only serve to tell writes apart. */
-    private final Map<String, String> lastModified = new TreeMap<>();
+    /** Modification time and size of each file by partner, used only to detect that a file was rewritten. */
+    private final Map<String, String> lastModifications = new TreeMap<>();
 
     private Duration lastPollAt;
 
     /**
-     * Files that were not read yet.
+     * Creates a reader that has not read any file.
      *
-     * @param files by partner
-     * @param maxFetchTime the job has a table in its file at most so long after it asked the partner, polls not counted
+     * @param files the files by partner
+     * @param maxFetchTime maximum time from the job's request to the partner until the job has written the file
      */
     public RouteTableFiles(RoutingTable routingTable, Map<String, Path> files, Duration maxFetchTime, EventLog log) {
         this.routingTable = routingTable;
@@ -48,7 +49,7 @@
         files.forEach((partner, file) -> {
             try {
                 String current = modification(file);
-                String previous = lastModified.put(partner, current);
+                String previous = lastModifications.put(partner, current);
                 if (!current.equals(previous) && !current.equals(ABSENT)) {
                     read(now, partner, file, previous != null);
                 }
@@ -73,7 +74,7 @@
         }
         try {
             RouteTableReader.ParsedTable parsed = RouteTableReader.read(Files.readString(file));
-            parsed.faults().forEach(fault -> log.line("route-fault partner=" + partner + " fault=" + fault));
+            parsed.routeErrors().forEach(error -> log.line("route-fault partner=" + partner + " fault=" + error));
             RouteTable table = parsed.table();
             if (!table.site().equals(partner)) {
                 log.line("route-file-rejected partner=" + partner + " file=" + file.getFileName()
@@ -82,7 +83,8 @@
             }
             routingTable.offer(now, table);
             if (isRewritten) {
-                // Written after the last poll, and asked for at most so long before it was written.
+                // The file was written after the last poll, and the table was requested at most maxFetchTime before
+                // the write.
                 routingTable.renew(now, RoutingTable.Renewal.of(table, lastPollAt.minus(maxFetchTime)));
             }
         } catch (RouteTableReader.UnusableTableException e) {
--- a/src/main/java/merlinlever/fleet/routes/net/RoutedDownstreamService.java
+++ b/src/main/java/merlinlever/fleet/routes/net/RoutedDownstreamService.java
@@ -21,16 +21,20 @@
 import merlinlever.fleet.routes.RoutingTable;
 
 /**
- * The calls of one backend, to its own records service and to partners, which speak the same protocol: carries out what {@link
- * RouteSelector} decides, and reports how many calls per second there is capacity for while its own service is not healthy. A call
- * that surely did not run at the own service is sent on at once; one that may have taken effect never is. On the loop's thread
- * only.
+ * Sends the downstream calls of one backend to the local records service, or along the route that {@link
+ * RouteSelector} selects to a partner, which uses the same protocol. Reports the available rate of the routes while
+ * the local service is not healthy. A call that provably did not run at the local service is forwarded immediately; a
+ * call that may have taken effect is not forwarded, and a retry is up to the controller. All methods are called on
+ * the event loop's thread.
  */
 public final class RoutedDownstreamService implements DownstreamService {
 
-    /** Upper bound of the partner addresses that have connections; a further one is not called. */
+    /** Maximum number of partner addresses with connections. Further addresses are not called. */
     private static final int MAX_PARTNER_ADDRESSES = 64;
-    /** Upper bound of the requests whose attempts are remembered, the oldest forgotten first: as many as the core caches keys of. */
+    /**
+     * Maximum number of requests whose attempts are tracked, equal to the number of keys that the controller caches.
+     * The oldest request is removed first.
+     */
     private static final int MAX_TRACKED_REQUESTS = 8192;
 
     private static final Duration TICK_INTERVAL = Duration.ofMillis(50);
@@ -38,7 +42,7 @@
     private static final RouteSelector.RoutingClass LOCAL_ONLY =
             new RouteSelector.RoutingClass("-", RouteSelector.RetrySafety.NON_IDEMPOTENT, false);
 
-    /** What became of the calls of one request since the last that succeeded. */
+    /** The call attempts of one request since its last successful call. */
     private static final class CallAttempts {
         private final Set<String> addresses = new HashSet<>();
         private boolean mayHaveTakenEffect;
@@ -46,20 +50,21 @@
         private byte[] body;
         private Duration startedAt;
         private Duration deadline;
-        /** Where its call is in flight; null where none is. */
+        /** The client of the call in flight; null if there is no call. */
         private RecordsClient client;
     }
 
     /**
-     * What is routed, and where the own service is.
+     * Settings of the routing and the local service.
      *
-     * @param ownAddress of the own records service
-     * @param maxConnections to the own service, and to each address of a partner
-     * @param routingClasses of the priority classes; a class that is not among them stays
-     * @param group of the routes
+     * @param localAddress address of the local records service
+     * @param maxConnections maximum number of connections to the local service, and to each partner address
+     * @param routingClasses routing properties of the priority classes; calls of other classes are not sent to
+     *     partners
+     * @param group group of the routes to use
      */
     public record RoutingSettings(
-            InetSocketAddress ownAddress,
+            InetSocketAddress localAddress,
             int maxConnections,
             List<RouteSelector.RoutingClass> routingClasses,
             String group) {}
@@ -67,7 +72,7 @@
     private final EventLoop loop;
     private final CompletionListener listener;
     private final Log log;
-    private final RecordsClient ownClient;
+    private final RecordsClient localClient;
     private final RoutingTable routingTable;
     private final RouteSelector selector;
     private final LocalServiceHealth localHealth;
@@ -80,11 +85,11 @@
     private long callsToPartners;
 
     /**
-     * Starts to report the capacity.
+     * Creates the service and starts to report the capacity.
      *
-     * @param listener is told the outcome of each call
-     * @param onCapacity takes how many calls per second there is capacity for, or -1 while the own service is healthy; whenever
-     *     that changes
+     * @param listener receives the outcome of each call
+     * @param onCapacity receives each change of the available rate of the routes in calls per second, or -1 when the
+     *     local service is healthy
      */
     public RoutedDownstreamService(
             EventLoop loop,
@@ -103,9 +108,9 @@
         this.localHealth = localHealth;
         this.settings = settings;
         settings.routingClasses().forEach(routingClass -> routingClasses.put(routingClass.name(), routingClass));
-        ownClient = new RecordsClient(
+        localClient = new RecordsClient(
                 loop,
-                settings.ownAddress(),
+                settings.localAddress(),
                 (now, id, outcome, reply) -> localCallEnded(now, id, outcome, reply),
                 log,
                 settings.maxConnections());
@@ -128,18 +133,18 @@
         return localHealth.state() == LocalServiceHealth.HealthState.HEALTHY;
     }
 
-    /** The own service is reached at that address from now on. */
-    public void moveTo(InetSocketAddress address) {
-        ownClient.setAddress(address);
+    /** Changes the address of the local service. */
+    public void setLocalAddress(InetSocketAddress address) {
+        localClient.setAddress(address);
     }
 
-    /** How many calls went to partners. */
+    /** Number of calls that were sent to partners. */
     public long callsToPartners() {
         return callsToPartners;
     }
 
     @Override
-    public void call(TrackedRequest request, byte[] body, Duration within) {
+    public void call(TrackedRequest request, byte[] body, Duration timeout) {
         Duration now = loop.clock().uptime();
         CallAttempts attempts = attemptsByRequest.computeIfAbsent(request.id(), id -> new CallAttempts());
         if (attemptsByRequest.size() > MAX_TRACKED_REQUESTS) {
@@ -148,14 +153,14 @@
         attempts.request = request;
         attempts.body = body;
         attempts.startedAt = now;
-        attempts.deadline = now.plus(within);
+        attempts.deadline = now.plus(timeout);
         boolean isIdempotent = routingClass(request).retrySafety() == RouteSelector.RetrySafety.IDEMPOTENT;
         if (attempts.mayHaveTakenEffect && !attempts.addresses.isEmpty() && !isIdempotent) {
-            // It may have taken effect at a partner: there is no second attempt, not even at home.
+            // The call may have taken effect at a partner, so it must not be repeated at the local service either.
             loop.execute(() -> listener.callEnded(loop.clock().now(), request.id(), Outcome.CONNECTION_LOST, null));
         } else if (isLocalHealthy() || localHealth.shouldProbe(now) || !callPartner(now, attempts, false)) {
-            attempts.client = ownClient;
-            ownClient.call(request, body, within);
+            attempts.client = localClient;
+            localClient.call(request, body, timeout);
         }
     }
 
@@ -163,7 +168,7 @@
         return routingClasses.getOrDefault(request.priorityClassName(), LOCAL_ONLY);
     }
 
-    /** Sends the call along a route; returns false where there is none. */
+    /** Sends the call to a partner; returns false if no route is available. */
     private boolean callPartner(Duration now, CallAttempts attempts, boolean isOverQuota) {
         RouteSelector.RoutedCall call = new RouteSelector.RoutedCall(
                 routingClass(attempts.request),
@@ -188,49 +193,49 @@
         return true;
     }
 
-    /** The connections to an address, or null where there are too many addresses. */
+    /** Returns the client for an address, or null if there are too many addresses. */
     private RecordsClient partnerClient(String address) {
         RecordsClient client = partnerClients.get(address);
         if (client == null && partnerClients.size() < MAX_PARTNER_ADDRESSES) {
-            int colon = address.lastIndexOf(':');
-            // Numeric, as the reader of tables makes sure: nothing is looked up.
-            InetSocketAddress socketAddress =
-                    new InetSocketAddress(address.substring(0, colon), Integer.parseInt(address.substring(colon + 1)));
+            int separator = address.lastIndexOf(':');
+            // RouteTableReader accepts only numeric addresses, so no name is resolved here.
+            InetSocketAddress socketAddress = new InetSocketAddress(
+                    address.substring(0, separator), Integer.parseInt(address.substring(separator + 1)));
             client = new RecordsClient(loop, socketAddress, this::callEnded, log, settings.maxConnections());
             partnerClients.put(address, client);
         }
         return client;
     }
 
-    private void localCallEnded(Duration moduleNow, long id, Outcome outcome, byte[] reply) {
+    private void localCallEnded(Duration now, long id, Outcome outcome, byte[] reply) {
         CallAttempts attempts = attemptsByRequest.get(id);
         if (attempts != null) {
-            Duration now = loop.clock().uptime();
-            localHealth.recordOutcome(now, outcome, now.minus(attempts.startedAt));
+            Duration uptime = loop.clock().uptime();
+            localHealth.recordOutcome(uptime, outcome, uptime.minus(attempts.startedAt));
             if (localHealth.state() != loggedState) {
                 loggedState = localHealth.state();
                 log.info("records-service-health state=" + loggedState.wireName());
             }
         }
-        callEnded(moduleNow, id, outcome, reply);
+        callEnded(now, id, outcome, reply);
     }
 
-    private void callEnded(Duration moduleNow, long id, Outcome outcome, byte[] reply) {
+    private void callEnded(Duration now, long id, Outcome outcome, byte[] reply) {
         CallAttempts attempts = attemptsByRequest.get(id);
         if (attempts == null) {
-            listener.callEnded(moduleNow, id, outcome, reply);
+            listener.callEnded(now, id, outcome, reply);
             return;
         }
         attempts.client = null;
         attempts.mayHaveTakenEffect |= outcome != Outcome.OK && !outcome.provesNoEffect();
-        boolean surelyDidNotRun = outcome == Outcome.UNREACHABLE || outcome == Outcome.REJECTED;
-        if (surelyDidNotRun && callPartner(loop.clock().uptime(), attempts, true)) {
+        boolean didNotRun = outcome == Outcome.UNREACHABLE || outcome == Outcome.REJECTED;
+        if (didNotRun && callPartner(loop.clock().uptime(), attempts, true)) {
             return;
         }
         if (outcome == Outcome.OK) {
             attemptsByRequest.remove(id);
         }
-        listener.callEnded(moduleNow, id, outcome, reply);
+        listener.callEnded(now, id, outcome, reply);
     }
 
     @Override
@@ -243,7 +248,7 @@
         }
     }
 
-    /** The state as members of a JSON object, as {@code GET /state} shows it. */
+    /** Returns the state as members of a JSON object for {@code GET /state}. */
     public String json() {
         return "\"routes\":{\"own\":\"" + localHealth.state().wireName() + "\",\"known\":" + routingTable.routeCount()
                 + ",\"sent\":" + callsToPartners + "}";
--- a/src/main/java/merlinlever/fleet/routes/net/package-info.java
+++ b/src/main/java/merlinlever/fleet/routes/net/package-info.java
@@ -1,2 +1,2 @@
-/** Partner sites on the event loop: files that hold partners' tables, and calls that go to partners. */
+/** Network and file access for partner routes: reads the tables of partners from files, and sends calls to partners. */
 package merlinlever.fleet.routes.net;
--- a/src/test/java/merlinlever/fleet/routes/RouteTableFilesTest.java
+++ b/src/test/java/merlinlever/fleet/routes/RouteTableFilesTest.java
@@ -60,7 +60,7 @@
                     1,
                     logLines.stream()
                             .filter(line -> line.startsWith("route-file-rejected partner=east")
-                                    && line.contains("reason=the table"))
+                                    && line.contains("reason=route table is invalid: "))
                             .count(),
                     "a file in halves");
             assertEquals(1, routes.candidates(seconds(108), "t/records").size());
--- a/src/test/java/merlinlever/fleet/routes/RouteTableReaderTest.java
+++ b/src/test/java/merlinlever/fleet/routes/RouteTableReaderTest.java
@@ -54,7 +54,7 @@
     void aWrittenTableIsReadBack() throws RouteTableReader.UnusableTableException {
         RouteTableReader.ParsedTable read = RouteTableReader.read(RouteTableWriter.write(full()));
         assertEquals(full(), read.table());
-        assertEquals(1, read.faults().size(), () -> read.faults().toString());
+        assertEquals(1, read.routeErrors().size(), () -> read.routeErrors().toString());
     }
 
     /** Whatever is said of restrictions and not understood forbids; so does a route with what is not known. */
@@ -80,14 +80,14 @@
                             .allMatch(route -> route.restrictions().unreadable()
                                     && !route.restrictions().allows("me")),
                     bad);
-            assertEquals(1, read.faults().size(), bad);
+            assertEquals(1, read.routeErrors().size(), bad);
         }
         RouteTableReader.ParsedTable newer =
                 RouteTableReader.read(table(ROUTE + ",\"only-on-mondays\":true}", ROUTE + ",\"group\":\"other\"}"));
         assertEquals(
                 List.of("t/other/10.0.0.1:7/east"),
                 List.copyOf(newer.table().routes().keySet()));
-        assertEquals(List.of("routes[0]: 'only-on-mondays' is not known"), newer.faults());
+        assertEquals(List.of("routes[0]: unknown field 'only-on-mondays'"), newer.routeErrors());
         // A name that comes twice could hide the first.
         assertThrows(
                 RouteTableReader.UnusableTableException.class,
@@ -171,7 +171,7 @@
                         && route.cost() >= 0
                         && !route.path().isEmpty()
                         && route.path().size() <= Restrictions.MAX_PATH_LENGTH
-                        && route.path().stream().allMatch(RouteTableReader::isSite));
+                        && route.path().stream().allMatch(RouteTableReader::isSiteName));
             }
             // What is read is written and read as the same.
             assertEquals(
@@ -179,7 +179,7 @@
                     RouteTableReader.read(RouteTableWriter.write(read.table())).table());
         } catch (RouteTableReader.UnusableTableException e) {
             assertTrue(
-                    e.getMessage().startsWith("the table")
+                    e.getMessage().startsWith("route table is ")
                             && e.getMessage().lines().count() == 1,
                     e.getMessage());
         }
--- a/src/test/java/merlinlever/fleet/routes/RoutingModelCheck.java
+++ b/src/test/java/merlinlever/fleet/routes/RoutingModelCheck.java
@@ -139,7 +139,7 @@
                                                 ? route
                                                 : policies[site].toExported(
                                                         route,
-                                                        new RouteExporter.Terms(
+                                                        new RouteExporter.ExportTerms(
                                                                 "-", relations[site][to], "10.0.0.9:1", 100, 1)));
                             }
                         }
@@ -147,7 +147,7 @@
                         all = RouteExporter.export(
                                 policies[site],
                                 merger,
-                                new RouteExporter.Terms(
+                                new RouteExporter.ExportTerms(
                                         SITES[to], relations[site][to], "10.0.0." + (site + 1) + ":1", 100, 1),
                                 own == null ? List.of() : List.of(own),
                                 candidate -> true);
