--- a/src/test/java/merlinlever/fleet/routes/PeerTableSyncTest.java
+++ b/src/test/java/merlinlever/fleet/routes/PeerTableSyncTest.java
@@ -24,32 +24,33 @@
                 line -> {});
     }
 
-    /** However late or often the answer comes; and an answer to an earlier query is ignored. */
+    /** A late or duplicate answer must not extend a lease, and an answer to an earlier query must be ignored. */
     @Test
-    void aLeaseCountsFromTheQuery() {
-        RoutingTable tableOfOne = routingTable();
-        RoutingTable tableOfOther = routingTable();
+    void aLeaseStartsWhenTheQueryIsSent() {
+        RoutingTable firstRoutingTable = routingTable();
+        RoutingTable secondRoutingTable = routingTable();
         RouteTable table = RouteMergerTest.table("east", 1, Relation.PEER, RouteMergerTest.route("t", 1, "east"));
-        tableOfOne.offer(seconds(0), table);
-        tableOfOne.renew(
+        firstRoutingTable.offer(seconds(0), table);
+        firstRoutingTable.renew(
                 seconds(0),
                 new RoutingTable.Renewal("east", 1, 1, RouteTableWriter.digest(table), seconds(0), seconds(10)));
-        tableOfOther.offer(seconds(0), table);
-        PeerTableSync one = new PeerTableSync(tableOfOne, 1000, new SplittableRandom(1));
-        PeerTableSync other = new PeerTableSync(tableOfOther, 5000, new SplittableRandom(2));
-        PeerMessage.Text query = other.dueQueries(seconds(2), List.of("one")).get(0);
-        PeerMessage.Text answer = one.receive(seconds(3), "other", query.correlationId(), query.text())
+        secondRoutingTable.offer(seconds(0), table);
+        PeerTableSync first = new PeerTableSync(firstRoutingTable, 1000, new SplittableRandom(1));
+        PeerTableSync second = new PeerTableSync(secondRoutingTable, 5000, new SplittableRandom(2));
+        PeerMessage.Text query = second.dueQueries(seconds(2), List.of("first")).get(0);
+        PeerMessage.Text answer = first.receive(seconds(3), "second", query.correlationId(), query.text())
                 .get(0);
         assertEquals("L/east/1/1/" + RouteTableWriter.digest(table) + "/7000", answer.text());
-        other.receive(seconds(6), "one", answer.correlationId(), answer.text());
-        other.receive(seconds(8), "one", answer.correlationId(), answer.text());
-        assertEquals(1, tableOfOther.candidates(seconds(8.9), "t/records").size());
-        assertEquals(0, tableOfOther.candidates(seconds(9), "t/records").size());
-        PeerMessage.Text next = other.dueQueries(seconds(20), List.of("one")).get(0);
-        other.receive(seconds(20), "one", query.correlationId(), answer.text());
-        assertEquals(0, tableOfOther.candidates(seconds(20), "t/records").size());
-        // A backend without a lease does not answer; and malformed texts are ignored.
-        assertEquals(List.of(), one.receive(seconds(20), "other", next.correlationId(), next.text()));
+        second.receive(seconds(6), "first", answer.correlationId(), answer.text());
+        second.receive(seconds(8), "first", answer.correlationId(), answer.text());
+        assertEquals(1, secondRoutingTable.candidates(seconds(8.9), "t/records").size());
+        assertEquals(0, secondRoutingTable.candidates(seconds(9), "t/records").size());
+        PeerMessage.Text laterQuery =
+                second.dueQueries(seconds(20), List.of("first")).get(0);
+        second.receive(seconds(20), "first", query.correlationId(), answer.text());
+        assertEquals(0, secondRoutingTable.candidates(seconds(20), "t/records").size());
+        // A backend without a valid lease does not answer, and malformed messages are ignored.
+        assertEquals(List.of(), first.receive(seconds(20), "second", laterQuery.correlationId(), laterQuery.text()));
         for (String malformed : List.of(
                 "",
                 "L",
@@ -58,8 +59,8 @@
                 "L/east/a/1/x/5",
                 "L/west/1/1/x/5",
                 "L/east/1/1/x/99999999999999999999")) {
-            assertEquals(List.of(), other.receive(seconds(20), "one", next.correlationId(), malformed));
+            assertEquals(List.of(), second.receive(seconds(20), "first", laterQuery.correlationId(), malformed));
         }
-        assertEquals(0, tableOfOther.candidates(seconds(20), "t/records").size());
+        assertEquals(0, secondRoutingTable.candidates(seconds(20), "t/records").size());
     }
 }
--- a/src/test/java/merlinlever/fleet/routes/RouteMergerTest.java
+++ b/src/test/java/merlinlever/fleet/routes/RouteMergerTest.java
@@ -17,9 +17,9 @@
 
 class RouteMergerTest {
 
-    static Route route(String tariff, int cost, String... path) {
+    static Route route(String priorityClass, int cost, String... path) {
         return new Route(
-                tariff,
+                priorityClass,
                 "records",
                 "10.0.0.1:700" + path.length,
                 10,
@@ -36,7 +36,7 @@
 
     private static Route randomRoute(SplittableRandom random, String site) {
         List<String> path = new ArrayList<>(List.of(site));
-        for (int more = random.nextInt(3); more > 0; more--) {
+        for (int extraSites = random.nextInt(3); extraSites > 0; extraSites--) {
             path.add("s" + random.nextInt(6));
         }
         Restrictions restrictions = random.nextInt(3) > 0
@@ -61,12 +61,15 @@
                 restrictions);
     }
 
-    /** Any history of tables, in any order over the partners, ends as the last tables alone put in at once. */
+    /**
+     * Compares a merger after a random history of tables with a new merger that only got the last table of each
+     * partner.
+     */
     @Property(tries = 300, seed = "41")
     void theResultDoesNotDependOnTheOrderOfTables(@ForAll long seed) {
         SplittableRandom random = new SplittableRandom(seed);
-        RouteMerger changed = new RouteMerger(new RoutingPolicy("me"));
-        TreeMap<String, RouteTable> last = new TreeMap<>();
+        RouteMerger updatedMerger = new RouteMerger(new RoutingPolicy("me"));
+        TreeMap<String, RouteTable> lastTables = new TreeMap<>();
         for (int step = 0; step < 30; step++) {
             String site = "s" + random.nextInt(6);
             List<Route> routes = new ArrayList<>();
@@ -77,25 +80,26 @@
             RouteTable table = random.nextInt(5) == 0
                     ? null
                     : RouteTable.of(site, 1, step, relation, Duration.ofSeconds(1), routes);
-            assertTrue(changed.replaceTable(site, relation, table, RouteMerger.NO_LISTENER));
+            assertTrue(updatedMerger.replaceTable(site, relation, table, RouteMerger.NO_LISTENER));
             if (table == null) {
-                last.remove(site);
+                lastTables.remove(site);
             } else {
-                last.put(site, table);
+                lastTables.put(site, table);
             }
         }
-        RouteMerger fresh = new RouteMerger(new RoutingPolicy("me"));
-        last.descendingMap()
-                .forEach((site, table) -> fresh.replaceTable(
+        RouteMerger newMerger = new RouteMerger(new RoutingPolicy("me"));
+        lastTables
+                .descendingMap()
+                .forEach((site, table) -> newMerger.replaceTable(
                         site, Relation.values()[site.charAt(1) % 3], table, RouteMerger.NO_LISTENER));
-        assertEquals(fresh.describe(), changed.describe());
+        assertEquals(newMerger.describe(), updatedMerger.describe());
         assertEquals(
-                last.values().stream()
+                lastTables.values().stream()
                         .mapToInt(candidate -> candidate.routes().size())
                         .sum(),
-                changed.routeCount());
-        for (String key : changed.keys()) {
-            for (RouteMerger.Candidate candidate : changed.candidates(key)) {
+                updatedMerger.routeCount());
+        for (String key : updatedMerger.keys()) {
+            for (RouteMerger.Candidate candidate : updatedMerger.candidates(key)) {
                 assertFalse(candidate.route().path().contains("me"));
                 assertTrue(candidate.route().restrictions().allows("me"));
             }
@@ -103,7 +107,7 @@
     }
 
     @Test
-    void customersComeBeforePeersBeforeProvidersThenShortThenCheap() {
+    void candidatesAreOrderedByRelationThenPathLengthThenCost() {
         RouteMerger merger = new RouteMerger(new RoutingPolicy("me"));
         merger.replaceTable(
                 "pro",
@@ -125,10 +129,10 @@
     }
 
     @Test
-    void tenThousandWithdrawnAtOnceLeaveNothing() {
-        List<Route> many = new ArrayList<>();
+    void withdrawingTenThousandRoutesRestoresThePreviousCandidates() {
+        List<Route> manyRoutes = new ArrayList<>();
         for (int i = 0; i < 10_000; i++) {
-            many.add(route("t" + i, 1, "east"));
+            manyRoutes.add(route("t" + i, 1, "east"));
         }
         int[] withdrawn = new int[1];
         RouteMerger merger = new RouteMerger(new RoutingPolicy("me"));
@@ -141,7 +145,7 @@
         merger.replaceTable(
                 "east",
                 Relation.PEER,
-                RouteTable.of("east", 1, 1, Relation.PEER, Duration.ofSeconds(1), many),
+                RouteTable.of("east", 1, 1, Relation.PEER, Duration.ofSeconds(1), manyRoutes),
                 RouteMerger.NO_LISTENER);
         assertEquals(10_000, merger.keys().size());
         merger.replaceTable("east", Relation.PEER, table("east", 2, Relation.PEER), new RouteMerger.RouteListener() {
@@ -161,17 +165,17 @@
     }
 
     @Test
-    void aTableBeyondTheBoundIsRejected() {
+    void aTableAboveTheRouteLimitIsRejected() {
         RouteMerger merger = new RouteMerger(new RoutingPolicy("me"));
-        List<Route> many = new ArrayList<>();
+        List<Route> manyRoutes = new ArrayList<>();
         for (int i = 0; i < RouteTable.MAX_ROUTES; i++) {
-            many.add(route("t" + i, 1, "x"));
+            manyRoutes.add(route("t" + i, 1, "x"));
         }
         for (int i = 0; i < 8; i++) {
             assertTrue(merger.replaceTable(
                     "p" + i,
                     Relation.PEER,
-                    RouteTable.of("p" + i, 1, 1, Relation.PEER, Duration.ofSeconds(1), many),
+                    RouteTable.of("p" + i, 1, 1, Relation.PEER, Duration.ofSeconds(1), manyRoutes),
                     RouteMerger.NO_LISTENER));
         }
         assertFalse(merger.replaceTable(
--- a/src/test/java/merlinlever/fleet/routes/RouteSelectorTest.java
+++ b/src/test/java/merlinlever/fleet/routes/RouteSelectorTest.java
@@ -57,7 +57,7 @@
 
     private long version;
 
-    private void publishes(Relation relation, String site, Route... published) {
+    private void publish(Relation relation, String site, Route... published) {
         RouteTable table = RouteTable.of(site, 1, ++version, relation, Duration.ofHours(1), List.of(published));
         routingTable.offer(NOW, table);
         routingTable.renew(
@@ -76,8 +76,8 @@
     }
 
     @Test
-    void aCallStaysWhileTheLocalServiceIsHealthy() {
-        publishes(Relation.PEER, "east", route("east", 1, 10, false, false));
+    void callsAreRoutedOnlyIfTheLocalServiceIsUnhealthyOrOverQuota() {
+        publish(Relation.PEER, "east", route("east", 1, 10, false, false));
         assertEquals(
                 Optional.empty(),
                 selector.selectRoute(NOW, call(READS, "k"), LocalServiceHealth.HealthState.HEALTHY, false));
@@ -88,10 +88,10 @@
     }
 
     @Test
-    void nonIdempotentCallsLeaveOnlyWhereClassAndRouteAllowIt() {
-        publishes(Relation.PEER, "east", route("east", 1, 10, false, false), route("east", 2, 10, false, true));
+    void nonIdempotentCallsAreRoutedOnlyIfClassAndRouteAllow() {
+        publish(Relation.PEER, "east", route("east", 1, 10, false, false), route("east", 2, 10, false, true));
         assertEquals(Optional.empty(), address(call(NON_IDEMPOTENT, "k")));
-        publishes(Relation.PEER, "east", route("east", 1, 10, true, false), route("east", 2, 10, true, true));
+        publish(Relation.PEER, "east", route("east", 1, 10, true, false), route("east", 2, 10, true, true));
         assertEquals(Optional.of("10.0.0.1:1"), address(call(NON_IDEMPOTENT, "k")));
         assertEquals(
                 Optional.empty(),
@@ -103,15 +103,15 @@
     }
 
     @Test
-    void aCallThatMayHaveTakenEffectIsSentAgainOnlyIfIdempotent() {
-        publishes(Relation.PEER, "east", route("east", 1, 10, true, false), route("east", 2, 10, true, false));
+    void aCallThatMayHaveTakenEffectIsRetriedOnlyIfIdempotent() {
+        publish(Relation.PEER, "east", route("east", 1, 10, true, false), route("east", 2, 10, true, false));
         RouteSelector.RoutingClass idempotentByKey =
                 new RouteSelector.RoutingClass("t", RouteSelector.RetrySafety.IDEMPOTENT_BY_KEY, true);
         for (RouteSelector.RoutingClass routingClass : List.of(NON_IDEMPOTENT, idempotentByKey)) {
             assertEquals(
                     Optional.empty(),
                     address(new RouteSelector.RoutedCall(routingClass, "records", "k", Set.of("10.0.0.1:1"), true)));
-            // A call that surely did not run may be sent again.
+            // A call that provably did not run may be retried.
             assertEquals(
                     Optional.of("10.0.0.2:1"),
                     address(new RouteSelector.RoutedCall(routingClass, "records", "k", Set.of("10.0.0.1:1"), false)));
@@ -123,11 +123,12 @@
 
     private Map<String, String> addressesByKey(int keys) {
         Map<String, String> addresses = new HashMap<>();
-        RouteSelector fresh = new RouteSelector(routingTable, 1);
+        RouteSelector newSelector = new RouteSelector(routingTable, 1);
         for (int i = 0; i < keys; i++) {
             addresses.put(
                     "key" + i,
-                    fresh.selectRoute(
+                    newSelector
+                            .selectRoute(
                                     NOW.plusSeconds(i),
                                     call(READS, "key" + i),
                                     LocalServiceHealth.HealthState.UNREACHABLE,
@@ -139,29 +140,29 @@
     }
 
     @Test
-    void keysAreSpreadByCapacityAndFewMoveWithAChange() {
-        publishes(Relation.PEER, "east", route("east", 1, 10, false, false), route("east", 2, 20, false, false));
-        publishes(Relation.PEER, "west", route("west", 3, 30, false, false));
+    void keysAreDistributedByRateAndOnlyKeysOfChangedRoutesMove() {
+        publish(Relation.PEER, "east", route("east", 1, 10, false, false), route("east", 2, 20, false, false));
+        publish(Relation.PEER, "west", route("west", 3, 30, false, false));
         Map<String, String> before = addressesByKey(3000);
         for (int host = 1; host <= 3; host++) {
             String address = "10.0.0." + host + ":1";
             long count = before.values().stream().filter(address::equals).count();
             assertTrue(Math.abs(count - 500L * host) < 90, address + " has " + count);
         }
-        publishes(Relation.PEER, "west", route("west", 3, 30, false, false), route("west", 4, 20, false, false));
+        publish(Relation.PEER, "west", route("west", 3, 30, false, false), route("west", 4, 20, false, false));
         Map<String, String> after = addressesByKey(3000);
         after.forEach(
                 (key, address) -> assertTrue(address.equals(before.get(key)) || address.equals("10.0.0.4:1"), key));
-        publishes(Relation.PEER, "west", route("west", 4, 20, false, false));
+        publish(Relation.PEER, "west", route("west", 4, 20, false, false));
         addressesByKey(3000)
                 .forEach((key, address) ->
                         assertTrue(after.get(key).equals("10.0.0.3:1") || address.equals(after.get(key)), key));
     }
 
     @Test
-    void aRouteTakesNoMoreThanItsRateAndTheNextBestTheRest() {
-        publishes(Relation.PEER, "east", route("east", 1, 10, false, false));
-        publishes(Relation.PROVIDER, "far", route("far", 5, 3, false, false));
+    void callsAboveTheRateOfARouteUseTheNextBestRoute() {
+        publish(Relation.PEER, "east", route("east", 1, 10, false, false));
+        publish(Relation.PROVIDER, "far", route("far", 5, 3, false, false));
         List<Optional<String>> addresses = new ArrayList<>();
         for (int i = 0; i < 20; i++) {
             addresses.add(address(call(READS, "k" + i)));
@@ -173,15 +174,18 @@
                 List.of(Optional.of("10.0.0.5:1"), Optional.of("10.0.0.5:1"), Optional.of("10.0.0.5:1")));
         assertEquals(7, addresses.stream().filter(Optional::isEmpty).count());
         assertEquals(13, selector.callsPerSecond(NOW, List.of(READS), "records"));
-        // Of eight backends each has an eighth of ten, and less than one of three: one in three seconds.
-        RouteSelector eighth = new RouteSelector(routingTable, 8);
+        // With eight backends, the share of a rate of 10 is one call per second, and the share of a rate of 3 is one
+        // call in 2.7 s.
+        RouteSelector selectorOfEight = new RouteSelector(routingTable, 8);
         Map<String, Integer> counts = new HashMap<>();
         for (int ms = 0; ms < 8000; ms += 10) {
-            eighth.selectRoute(NOW.plusMillis(ms), call(READS, "k"), LocalServiceHealth.HealthState.UNREACHABLE, false)
+            selectorOfEight
+                    .selectRoute(
+                            NOW.plusMillis(ms), call(READS, "k"), LocalServiceHealth.HealthState.UNREACHABLE, false)
                     .ifPresent(selected -> counts.merge(selected.site(), 1, Integer::sum));
         }
         assertEquals(Map.of("east", 8, "far", 3), counts);
-        assertEquals(1, eighth.callsPerSecond(NOW, List.of(READS), "records"));
+        assertEquals(1, selectorOfEight.callsPerSecond(NOW, List.of(READS), "records"));
     }
 
     @Test
--- a/src/test/java/merlinlever/fleet/routes/RouteTableFilesTest.java
+++ b/src/test/java/merlinlever/fleet/routes/RouteTableFilesTest.java
@@ -19,15 +19,15 @@
         return Duration.ofMillis((long) (seconds * 1000));
     }
 
-    private static int writes;
+    private static int writeCount;
 
     private static void write(Path file, String text) throws IOException {
         Files.writeString(file, text);
-        Files.setLastModifiedTime(file, FileTime.fromMillis(1_000_000_000L + 1000L * writes++));
+        Files.setLastModifiedTime(file, FileTime.fromMillis(1_000_000_000L + 1000L * writeCount++));
     }
 
     @Test
-    void aLeaseCountsFromTheLastPollBeforeTheWrite() throws IOException {
+    void aLeaseStartsOneFetchTimeBeforeTheLastPollBeforeTheWrite() throws IOException {
         Path file = Files.createTempFile("merlinlever-routes", ".json");
         try {
             List<String> logLines = new ArrayList<>();
@@ -44,16 +44,22 @@
                     RouteMergerTest.table("east", 1, Relation.PEER, RouteMergerTest.route("t", 1, "east")));
             write(file, text);
             files.poll(seconds(100));
-            assertEquals(0, routes.candidates(seconds(100), "t/records").size(), "it may be of any age");
+            assertEquals(
+                    0,
+                    routes.candidates(seconds(100), "t/records").size(),
+                    "a file found at the first poll must not start a lease");
             files.poll(seconds(101));
             write(file, text);
             files.poll(seconds(104));
-            // Asked for at 99 at the earliest.
+            // The last poll before the write was at 101 s and the fetch takes at most 2 s, so the lease of 10 s
+            // starts at 99 s.
             assertEquals(1, routes.candidates(seconds(108.9), "t/records").size());
             assertEquals(0, routes.candidates(seconds(109), "t/records").size());
             files.poll(seconds(106));
             assertEquals(
-                    0, routes.candidates(seconds(109), "t/records").size(), "a look alone is no word of the partner");
+                    0,
+                    routes.candidates(seconds(109), "t/records").size(),
+                    "a poll without a rewrite must not renew the lease");
             write(file, text.substring(0, text.length() / 2));
             files.poll(seconds(107));
             assertEquals(
@@ -62,7 +68,7 @@
                             .filter(line -> line.startsWith("route-file-rejected partner=east")
                                     && line.contains("reason=route table is invalid: "))
                             .count(),
-                    "a file in halves");
+                    "a truncated file must be rejected");
             assertEquals(1, routes.candidates(seconds(108), "t/records").size());
             write(file, text.replace("\"site\":\"east\"", "\"site\":\"west\""));
             files.poll(seconds(108));
--- a/src/test/java/merlinlever/fleet/routes/RouteTableReaderTest.java
+++ b/src/test/java/merlinlever/fleet/routes/RouteTableReaderTest.java
@@ -25,7 +25,7 @@
                 + String.join(",", routes) + "]}";
     }
 
-    private static RouteTable full() {
+    private static RouteTable tableWithAllFields() {
         Restrictions restrictions = new Restrictions(
                 new TreeSet<>(Set.of("me", "west")), new TreeSet<>(Set.of("north")), true, 3, true, true, false);
         return RouteTable.of(
@@ -52,15 +52,15 @@
 
     @Test
     void aWrittenTableIsReadBack() throws RouteTableReader.UnusableTableException {
-        RouteTableReader.ParsedTable read = RouteTableReader.read(RouteTableWriter.write(full()));
-        assertEquals(full(), read.table());
-        assertEquals(1, read.routeErrors().size(), () -> read.routeErrors().toString());
+        RouteTableReader.ParsedTable parsed = RouteTableReader.read(RouteTableWriter.write(tableWithAllFields()));
+        assertEquals(tableWithAllFields(), parsed.table());
+        assertEquals(1, parsed.routeErrors().size(), () -> parsed.routeErrors().toString());
     }
 
-    /** Whatever is said of restrictions and not understood forbids; so does a route with what is not known. */
+    /** An invalid or unknown restriction must forbid the route, and a route with an unknown field must be ignored. */
     @Test
-    void restrictionsThatAreNotUnderstoodForbidTheRoute() throws RouteTableReader.UnusableTableException {
-        for (String bad : List.of(
+    void invalidRestrictionsForbidTheRoute() throws RouteTableReader.UnusableTableException {
+        for (String invalid : List.of(
                 "null",
                 "[]",
                 "7",
@@ -74,21 +74,22 @@
                 "{\"most-sites\":1.5}",
                 "{\"retriable-only\":\"yes\"}",
                 "{\"customers-only\":true,\"not-to\":[{}]}")) {
-            RouteTableReader.ParsedTable read = RouteTableReader.read(table(ROUTE + ",\"restrictions\":" + bad + "}"));
+            RouteTableReader.ParsedTable parsed =
+                    RouteTableReader.read(table(ROUTE + ",\"restrictions\":" + invalid + "}"));
             assertTrue(
-                    read.table().routes().values().stream()
+                    parsed.table().routes().values().stream()
                             .allMatch(route -> route.restrictions().unreadable()
                                     && !route.restrictions().allows("me")),
-                    bad);
-            assertEquals(1, read.routeErrors().size(), bad);
+                    invalid);
+            assertEquals(1, parsed.routeErrors().size(), invalid);
         }
-        RouteTableReader.ParsedTable newer =
+        RouteTableReader.ParsedTable withUnknownField =
                 RouteTableReader.read(table(ROUTE + ",\"only-on-mondays\":true}", ROUTE + ",\"group\":\"other\"}"));
         assertEquals(
                 List.of("t/other/10.0.0.1:7/east"),
-                List.copyOf(newer.table().routes().keySet()));
-        assertEquals(List.of("routes[0]: unknown field 'only-on-mondays'"), newer.routeErrors());
-        // A name that comes twice could hide the first.
+                List.copyOf(withUnknownField.table().routes().keySet()));
+        assertEquals(List.of("routes[0]: unknown field 'only-on-mondays'"), withUnknownField.routeErrors());
+        // A duplicate field could hide the restrictions.
         assertThrows(
                 RouteTableReader.UnusableTableException.class,
                 () -> RouteTableReader.read(
@@ -105,8 +106,8 @@
     }
 
     @Test
-    void valuesBeyondABoundAreRejected() {
-        for (String bad : List.of(
+    void invalidTablesAreRejected() {
+        for (String invalid : List.of(
                 "[]",
                 "",
                 "{}",
@@ -116,26 +117,30 @@
                 table().replace("peer", "friend"),
                 table().replace("\"sequence\":2", "\"sequence\":-1"),
                 table().replace("[]", "{}"))) {
-            assertThrows(RouteTableReader.UnusableTableException.class, () -> RouteTableReader.read(bad), bad);
+            assertThrows(RouteTableReader.UnusableTableException.class, () -> RouteTableReader.read(invalid), invalid);
         }
-        List<String> many = new ArrayList<>();
+        List<String> manyRoutes = new ArrayList<>();
         for (int i = 0; i <= RouteTable.MAX_ROUTES; i++) {
-            many.add(ROUTE.replace("\"t\"", "\"t" + i + "\"") + "}");
+            manyRoutes.add(ROUTE.replace("\"t\"", "\"t" + i + "\"") + "}");
         }
         assertThrows(
                 RouteTableReader.UnusableTableException.class,
-                () -> RouteTableReader.read(table(many.toArray(String[]::new))));
+                () -> RouteTableReader.read(table(manyRoutes.toArray(String[]::new))));
         assertThrows(
                 RouteTableReader.UnusableTableException.class,
                 () -> RouteTableReader.read(" ".repeat(RouteTableReader.MAX_CHARACTERS + 1)));
     }
 
-    /** A table with anything changed, cut or put in ends in a table within the bounds or in the one fault; and never allows more than it said. */
+    /**
+     * A randomly modified table must be rejected with a one-line message, or yield values in range that can be
+     * written and read back.
+     */
     @Property(tries = 4000, seed = "42")
-    void corruptedTextsAreReadWithinBoundsOrRejected(@ForAll long seed, @ForAll @IntRange(min = 1, max = 6) int times) {
+    void corruptedTextsAreReadWithinBoundsOrRejected(
+            @ForAll long seed, @ForAll @IntRange(min = 1, max = 6) int modifications) {
         SplittableRandom random = new SplittableRandom(seed);
-        StringBuilder text = new StringBuilder(RouteTableWriter.write(full()));
-        String[] words = {
+        StringBuilder text = new StringBuilder(RouteTableWriter.write(tableWithAllFields()));
+        String[] fragments = {
             "\"",
             "{",
             "}",
@@ -153,19 +158,20 @@
             "east",
             " "
         };
-        for (int i = 0; i < times && text.length() > 2; i++) {
-            int at = random.nextInt(text.length());
+        for (int i = 0; i < modifications && text.length() > 2; i++) {
+            int position = random.nextInt(text.length());
             switch (random.nextInt(4)) {
-                case 0 -> text.setCharAt(at, (char) random.nextInt(random.nextBoolean() ? 128 : 0x10000));
-                case 1 -> text.delete(at, Math.min(text.length(), at + 1 + random.nextInt(20)));
-                case 2 -> text.insert(at, words[random.nextInt(words.length)]);
-                default -> text.insert(at, text.substring(at, Math.min(text.length(), at + random.nextInt(120))));
+                case 0 -> text.setCharAt(position, (char) random.nextInt(random.nextBoolean() ? 128 : 0x10000));
+                case 1 -> text.delete(position, Math.min(text.length(), position + 1 + random.nextInt(20)));
+                case 2 -> text.insert(position, fragments[random.nextInt(fragments.length)]);
+                default -> text.insert(
+                        position, text.substring(position, Math.min(text.length(), position + random.nextInt(120))));
             }
         }
         try {
-            RouteTableReader.ParsedTable read = RouteTableReader.read(text.toString());
-            assertTrue(read.table().routes().size() <= RouteTable.MAX_ROUTES);
-            for (Route route : read.table().routes().values()) {
+            RouteTableReader.ParsedTable parsed = RouteTableReader.read(text.toString());
+            assertTrue(parsed.table().routes().size() <= RouteTable.MAX_ROUTES);
+            for (Route route : parsed.table().routes().values()) {
                 assertTrue(route.callsPerSecond() >= 1
                         && route.callsPerSecond() <= RouteTableReader.MAX_CALLS_PER_SECOND
                         && route.cost() >= 0
@@ -173,10 +179,11 @@
                         && route.path().size() <= Restrictions.MAX_PATH_LENGTH
                         && route.path().stream().allMatch(RouteTableReader::isSiteName));
             }
-            // What is read is written and read as the same.
+            // A parsed table survives a round trip.
             assertEquals(
-                    read.table(),
-                    RouteTableReader.read(RouteTableWriter.write(read.table())).table());
+                    parsed.table(),
+                    RouteTableReader.read(RouteTableWriter.write(parsed.table()))
+                            .table());
         } catch (RouteTableReader.UnusableTableException e) {
             assertTrue(
                     e.getMessage().startsWith("route table is ")
--- a/src/test/java/merlinlever/fleet/routes/RoutingModelCheck.java
+++ b/src/test/java/merlinlever/fleet/routes/RoutingModelCheck.java
@@ -14,49 +14,52 @@
 import java.util.TreeSet;
 
 /**
- * Walks every state that four sites can reach: the first publishes one variant of its route after the other, each site publishes to
- * each partner at any time, each published table arrives, is overtaken or is lost, and any table that is held may expire. Checks
- * every exported and every imported route by rules of its own, and lets each state converge, to see that all orders end alike.
+ * Model checker that explores the reachable states of four sites by breadth-first search. The first site publishes
+ * the variants of its route in turn. Each site may publish to each partner at any time; a published table may arrive,
+ * be replaced by a later table or be lost, and a held table may expire. The model checker verifies each exported and
+ * imported route with independent rules, and that all states of one variant converge to the same result.
  */
 final class RoutingModelCheck {
 
     static final String[] SITES = {"a", "b", "c", "d"};
-    private static final int N = 4;
-    private static final int NOTHING = 0;
-    /** The first variant's calls per second; each later one has one more. */
+    private static final int SITE_COUNT = 4;
+    private static final int EMPTY_CONTENT = 0;
+    /** Calls per second of the first variant. The rate of each further variant is higher by one. */
     private static final int VARIANT_RATE = 10;
 
-    /** What the second is to the first, by index; null where they are no partners. */
-    final Relation[][] relations = new Relation[N][N];
+    /** Relation of the second site (second index) to the first site (first index), or null if they are not partners. */
+    final Relation[][] relations = new Relation[SITE_COUNT][SITE_COUNT];
 
     private final List<Restrictions> variants;
-    private final RoutingPolicy[] policies = new RoutingPolicy[N];
-    /** A site that exports all that it has, -1 for none. */
-    int leaker = -1;
+    private final RoutingPolicy[] policies = new RoutingPolicy[SITE_COUNT];
+    /** Index of the site that exports all its routes regardless of the rules, or -1 for none. */
+    int leakingSite = -1;
 
-    /** Whether the leaker passes routes on as if they were its own. */
+    /** Whether the leaking site re-exports routes without adding itself to the path. */
     boolean stripsPath;
 
-    final Set<String> breaches = new TreeSet<>();
+    final Set<String> violations = new TreeSet<>();
     final Map<Integer, Set<String>> results = new TreeMap<>();
     int states;
     private final List<List<Route>> contents = new ArrayList<>(List.of(List.of()));
-    private final Map<List<Route>, Integer> numberOfContent = new HashMap<>(Map.of(List.of(), NOTHING));
+    private final Map<List<Route>, Integer> contentIndexes = new HashMap<>(Map.of(List.of(), EMPTY_CONTENT));
     private final Map<String, Integer> exports = new HashMap<>();
     private final Map<String, String> merges = new HashMap<>();
 
     /**
-     * A walk that begins with the first variant.
+     * Creates a search that starts with the first variant.
      *
-     * @param variants of the first site's route, null for withdrawn
+     * @param variants restrictions of the variants of the first site's route, with null for a withdrawn route
+     * @param disabledImportRules import rules that the sites do not apply
+     * @param disabledExportRules export rules that the sites do not apply
      */
     RoutingModelCheck(
             List<Restrictions> variants,
-            Set<RoutingPolicy.ImportRule> without,
-            Set<RoutingPolicy.ExportRule> withoutExport) {
+            Set<RoutingPolicy.ImportRule> disabledImportRules,
+            Set<RoutingPolicy.ExportRule> disabledExportRules) {
         this.variants = variants;
-        for (int i = 0; i < N; i++) {
-            policies[i] = new RoutingPolicy(SITES[i], without, withoutExport);
+        for (int i = 0; i < SITE_COUNT; i++) {
+            policies[i] = new RoutingPolicy(SITES[i], disabledImportRules, disabledExportRules);
         }
     }
 
@@ -67,7 +70,7 @@
                 EnumSet.noneOf(RoutingPolicy.ExportRule.class));
     }
 
-    /** Makes the second site this to the first. */
+    /** Makes two sites partners; the relation is the relation of the second site to the first. */
     RoutingModelCheck link(int one, int other, Relation relation) {
         relations[one][other] = relation;
         relations[other][one] = relation.inverse();
@@ -75,11 +78,11 @@
     }
 
     /**
-     * A state of all sites; tables are numbers of contents.
+     * A state of all sites. Tables are represented by their index in the list of contents.
      *
-     * @param published how many variants were published
-     * @param held by receiver and publisher: the table that is held
-     * @param inTransit by publisher and receiver: the table that is under way, -1 for none
+     * @param published index of the variant that the first site publishes
+     * @param held the held table by receiver and publisher
+     * @param inTransit the table in transit by publisher and receiver, or -1 for none
      */
     private record NetworkState(int published, int[][] held, int[][] inTransit) {
         NetworkState copy(int nowPublished) {
@@ -94,9 +97,9 @@
         }
     }
 
-    private Route own(int published) {
+    private Route ownRoute(int published) {
         Restrictions restrictions = variants.get(published);
-        // By its rate the variant is recognized, whatever became of the rest.
+        // The rate identifies the variant after the route has been exported.
         return restrictions == null
                 ? null
                 : new Route(
@@ -105,8 +108,8 @@
 
     private RouteMerger merger(int site, int[] held) {
         RouteMerger merger = new RouteMerger(policies[site]);
-        for (int from = 0; from < N; from++) {
-            if (relations[site][from] != null && held[from] != NOTHING) {
+        for (int from = 0; from < SITE_COUNT; from++) {
+            if (relations[site][from] != null && held[from] != EMPTY_CONTENT) {
                 merger.replaceTable(
                         SITES[from],
                         relations[site][from],
@@ -123,18 +126,18 @@
         return merger;
     }
 
-    /** The content that the site would publish to the other, as its number. */
+    /** Returns the index of the content that the site publishes to the receiver. */
     private int export(NetworkState state, int site, int to) {
         return exports.computeIfAbsent(
                 site + ">" + to + (site == 0 ? "/" + state.published : "") + Arrays.toString(state.held[site]), key -> {
-                    Route own = site == 0 ? own(state.published) : null;
+                    Route ownRoute = site == 0 ? ownRoute(state.published) : null;
                     RouteMerger merger = merger(site, state.held[site]);
-                    List<Route> all = new ArrayList<>();
-                    if (site == leaker) {
-                        all.addAll(own == null ? List.of() : List.of(own));
-                        for (int from = 0; from < N; from++) {
+                    List<Route> exportedRoutes = new ArrayList<>();
+                    if (site == leakingSite) {
+                        exportedRoutes.addAll(ownRoute == null ? List.of() : List.of(ownRoute));
+                        for (int from = 0; from < SITE_COUNT; from++) {
                             for (Route route : contents.get(state.held[site][from])) {
-                                all.add(
+                                exportedRoutes.add(
                                         stripsPath
                                                 ? route
                                                 : policies[site].toExported(
@@ -144,109 +147,112 @@
                             }
                         }
                     } else {
-                        all = RouteExporter.export(
+                        exportedRoutes = RouteExporter.export(
                                 policies[site],
                                 merger,
                                 new RouteExporter.ExportTerms(
                                         SITES[to], relations[site][to], "10.0.0." + (site + 1) + ":1", 100, 1),
-                                own == null ? List.of() : List.of(own),
+                                ownRoute == null ? List.of() : List.of(ownRoute),
                                 candidate -> true);
-                        all.forEach(route -> check("sent", route, site, to));
+                        exportedRoutes.forEach(route -> check("export", route, site, to));
                     }
                     merger.keys().forEach(routeKey -> merger.candidates(routeKey)
                             .forEach(candidate -> check(
-                                    "taken",
+                                    "import",
                                     candidate.route(),
                                     Arrays.asList(SITES).indexOf(candidate.partner()),
                                     site)));
-                    List<Route> content = List.copyOf(all);
-                    Integer number = numberOfContent.get(content);
-                    if (number == null) {
-                        number = contents.size();
-                        numberOfContent.put(content, number);
+                    List<Route> content = List.copyOf(exportedRoutes);
+                    Integer index = contentIndexes.get(content);
+                    if (index == null) {
+                        index = contents.size();
+                        contentIndexes.put(content, index);
                         contents.add(content);
                     }
-                    return number;
+                    return index;
                 });
     }
 
-    /** Checks a route by rules of its own; it recognizes the variant by its rate, and knows what the sites are to each other. */
+    /**
+     * Checks a route with independent rules, based on the restrictions of its variant and on the relations of the
+     * sites.
+     */
     private void check(String event, Route route, int from, int to) {
-        String breach = findBreach(route, from, to);
-        if (breach != null) {
-            breaches.add(event + " to " + SITES[to] + " by " + route.path() + ": " + breach);
+        String violation = findViolation(route, from, to);
+        if (violation != null) {
+            violations.add(event + " to " + SITES[to] + " on path " + route.path() + ": " + violation);
         }
     }
 
-    private String findBreach(Route route, int from, int to) {
+    private String findViolation(Route route, int from, int to) {
         Restrictions published = variants.get(route.callsPerSecond() - VARIANT_RATE);
         List<String> path = route.path();
         boolean isOrigin = path.size() == 1;
         if (published.unreadable() && to != 0) {
             return "unreadable";
         } else if (published.allowedSites() != null && !published.allowedSites().contains(SITES[to])) {
-            return "not among the only";
+            return "receiver not among allowed sites";
         } else if (published.deniedSites().contains(SITES[to])) {
-            return "not to it";
+            return "receiver denied";
         } else if (published.noExport() && !isOrigin) {
-            return "exported";
+            return "re-exported";
         } else if (path.size() > published.maxPathLength()) {
-            return "too long";
+            return "path too long";
         } else if (published.customersOnly() && !isOrigin && relations[from][to] != Relation.CUSTOMER) {
-            return "not a customer";
+            return "receiver not a customer";
         } else if (path.contains(SITES[to]) || new HashSet<>(path).size() < path.size()) {
             return "loop";
         } else if (!path.get(0).equals(SITES[from])) {
-            return "not its own";
+            return "first site is not the sender";
         }
         return hasValley(path, to) ? "valley" : null;
     }
 
     private boolean hasValley(List<String> path, int to) {
         boolean wentToPeerOrCustomer = false;
-        int at = Arrays.asList(SITES).indexOf(path.get(path.size() - 1));
+        int site = Arrays.asList(SITES).indexOf(path.get(path.size() - 1));
         for (int i = path.size() - 2; i >= -1; i--) {
             int next = i < 0 ? to : Arrays.asList(SITES).indexOf(path.get(i));
-            Relation step = relations[at][next];
+            Relation step = relations[site][next];
             if (step == null || (wentToPeerOrCustomer && step != Relation.CUSTOMER)) {
                 return true;
             }
             wentToPeerOrCustomer |= step != Relation.PROVIDER;
-            at = next;
+            site = next;
         }
         return false;
     }
 
     void run(int maxStates) {
-        NetworkState initial = new NetworkState(0, new int[N][N], new int[N][N]);
+        NetworkState initial = new NetworkState(0, new int[SITE_COUNT][SITE_COUNT], new int[SITE_COUNT][SITE_COUNT]);
         Arrays.stream(initial.inTransit).forEach(row -> Arrays.fill(row, -1));
-        Set<String> seen = new HashSet<>(Set.of(initial.key()));
-        ArrayDeque<NetworkState> open = new ArrayDeque<>(List.of(initial));
-        while (!open.isEmpty()) {
-            NetworkState state = open.poll();
+        Set<String> visitedKeys = new HashSet<>(Set.of(initial.key()));
+        ArrayDeque<NetworkState> queue = new ArrayDeque<>(List.of(initial));
+        while (!queue.isEmpty()) {
+            NetworkState state = queue.poll();
             states++;
             converge(state);
-            for (NetworkState next : successors(state)) {
-                if (seen.size() < maxStates && seen.add(next.key())) {
-                    open.add(next);
+            for (NetworkState next : nextStates(state)) {
+                if (visitedKeys.size() < maxStates && visitedKeys.add(next.key())) {
+                    queue.add(next);
                 }
             }
         }
     }
 
-    private List<NetworkState> successors(NetworkState state) {
+    private List<NetworkState> nextStates(NetworkState state) {
         List<NetworkState> next = new ArrayList<>();
         if (state.published + 1 < variants.size()) {
             next.add(state.copy(state.published + 1));
         }
-        for (int x = 0; x < N; x++) {
-            for (int y = 0; y < N; y++) {
+        for (int x = 0; x < SITE_COUNT; x++) {
+            for (int y = 0; y < SITE_COUNT; y++) {
                 if (relations[x][y] == null) {
                     continue;
                 }
                 int content = export(state, x, y);
                 if (content != (state.inTransit[x][y] >= 0 ? state.inTransit[x][y] : state.held[y][x])) {
-                    // What was on its way is overtaken: it is older when it comes.
+                    // The new table replaces the table in transit, which would be rejected as an older version.
                     NetworkState published = state.copy(state.published);
                     published.inTransit[x][y] = content;
                     next.add(published);
@@ -260,9 +266,9 @@
                     lost.inTransit[x][y] = -1;
                     next.add(lost);
                 }
-                if (state.held[y][x] != NOTHING) {
+                if (state.held[y][x] != EMPTY_CONTENT) {
                     NetworkState expired = state.copy(state.published);
-                    expired.held[y][x] = NOTHING;
+                    expired.held[y][x] = EMPTY_CONTENT;
                     next.add(expired);
                 }
             }
@@ -270,14 +276,14 @@
         return next;
     }
 
-    /** Nothing more is published or lost: what all converge to depends only on the last variant. */
+    /** Delivers all tables until no table changes, and records the result by the published variant. */
     private void converge(NetworkState from) {
         NetworkState state = from.copy(from.published);
         boolean changed = true;
         for (int round = 0; changed && round < 40; round++) {
             changed = false;
-            for (int x = 0; x < N; x++) {
-                for (int y = 0; y < N; y++) {
+            for (int x = 0; x < SITE_COUNT; x++) {
+                for (int y = 0; y < SITE_COUNT; y++) {
                     if (relations[x][y] != null) {
                         int content = export(state, x, y);
                         changed |= content != state.held[y][x];
@@ -286,15 +292,15 @@
                 }
             }
         }
-        StringBuilder all = new StringBuilder(changed ? "no rest\n" : "");
-        for (int x = 0; x < N; x++) {
+        StringBuilder result = new StringBuilder(changed ? "not converged\n" : "");
+        for (int x = 0; x < SITE_COUNT; x++) {
             int site = x;
-            all.append(SITES[x])
+            result.append(SITES[x])
                     .append(":\n")
                     .append(merges.computeIfAbsent(
                             x + Arrays.toString(state.held[x]),
                             key -> merger(site, state.held[site]).describe()));
         }
-        results.computeIfAbsent(state.published, published -> new TreeSet<>()).add(all.toString());
+        results.computeIfAbsent(state.published, published -> new TreeSet<>()).add(result.toString());
     }
 }
--- a/src/test/java/merlinlever/fleet/routes/RoutingModelCheckTest.java
+++ b/src/test/java/merlinlever/fleet/routes/RoutingModelCheckTest.java
@@ -13,41 +13,46 @@
 
 class RoutingModelCheckTest {
 
-    private static final Restrictions OPEN = Restrictions.NONE;
-    private static final Restrictions ONLY =
+    private static final Restrictions UNRESTRICTED = Restrictions.NONE;
+    private static final Restrictions ALLOWED_SITES =
             new Restrictions(new TreeSet<>(Set.of("b", "d")), new TreeSet<>(), false, 16, false, false, false);
-    private static final Restrictions NOT =
+    private static final Restrictions DENIED_SITES =
             new Restrictions(null, new TreeSet<>(Set.of("c")), false, 16, false, false, false);
-    private static final Restrictions STAY = new Restrictions(null, new TreeSet<>(), true, 16, false, false, false);
-    private static final Restrictions ONE = new Restrictions(null, new TreeSet<>(), false, 1, false, false, false);
-    private static final Restrictions DOWN = new Restrictions(null, new TreeSet<>(), false, 16, false, true, false);
-    /** What the rest of it says does not count. */
+    private static final Restrictions NO_EXPORT =
+            new Restrictions(null, new TreeSet<>(), true, 16, false, false, false);
+    private static final Restrictions ONE_SITE = new Restrictions(null, new TreeSet<>(), false, 1, false, false, false);
+    private static final Restrictions CUSTOMERS_ONLY =
+            new Restrictions(null, new TreeSet<>(), false, 16, false, true, false);
     private static final Restrictions UNREADABLE =
             new Restrictions(null, new TreeSet<>(), false, 16, false, false, true);
 
-    private static final List<Restrictions> EACH = List.of(ONLY, NOT, STAY, ONE, DOWN, UNREADABLE);
-    /** A larger bound walks all of it: 2,000,000 does, in some minutes. */
+    private static final List<Restrictions> ALL_RESTRICTIONS =
+            List.of(ALLOWED_SITES, DENIED_SITES, NO_EXPORT, ONE_SITE, CUSTOMERS_ONLY, UNREADABLE);
+    /** Maximum number of states per search. With 2,000,000, all searches are complete. */
     private static final int MAX_STATES = Integer.getInteger("merlinlever.states", 10_000);
 
-    /** A circle: the first pays the second and fourth, which both pay the third. */
-    private static RoutingModelCheck circle(RoutingModelCheck search) {
-        return search.link(0, 1, Relation.PROVIDER)
+    /** A ring: the second and fourth sites are providers of the first, and the third site is the provider of both. */
+    private static RoutingModelCheck ringOfProviders(RoutingModelCheck check) {
+        return check.link(0, 1, Relation.PROVIDER)
                 .link(0, 3, Relation.PROVIDER)
                 .link(1, 2, Relation.PROVIDER)
                 .link(3, 2, Relation.PROVIDER);
     }
 
-    /** A circle with peers in it: the first is the second's customer, which is a peer of the third; the fourth is the third's customer and the first's peer. */
-    private static RoutingModelCheck peers(RoutingModelCheck search) {
-        return search.link(0, 1, Relation.PROVIDER)
+    /**
+     * A ring with peers: the first site is a customer of the second, the second and third are peers, the fourth is a
+     * customer of the third, and the fourth and first are peers.
+     */
+    private static RoutingModelCheck ringWithPeers(RoutingModelCheck check) {
+        return check.link(0, 1, Relation.PROVIDER)
                 .link(1, 2, Relation.PEER)
                 .link(2, 3, Relation.CUSTOMER)
                 .link(3, 0, Relation.PEER);
     }
 
-    /** The first is the provider of the second and fourth, and these of the third: all goes down. */
-    private static RoutingModelCheck down(RoutingModelCheck search) {
-        return search.link(0, 1, Relation.CUSTOMER)
+    /** A ring in which the first site is the provider of the second and fourth, and both are providers of the third. */
+    private static RoutingModelCheck ringOfCustomers(RoutingModelCheck check) {
+        return check.link(0, 1, Relation.CUSTOMER)
                 .link(0, 3, Relation.CUSTOMER)
                 .link(1, 2, Relation.CUSTOMER)
                 .link(3, 2, Relation.CUSTOMER);
@@ -55,83 +60,87 @@
 
     private static List<RoutingModelCheck> topologies(
             List<Restrictions> variants,
-            Set<RoutingPolicy.ImportRule> without,
-            Set<RoutingPolicy.ExportRule> withoutExport) {
+            Set<RoutingPolicy.ImportRule> disabledImportRules,
+            Set<RoutingPolicy.ExportRule> disabledExportRules) {
         return List.of(
-                circle(new RoutingModelCheck(variants, without, withoutExport)),
-                peers(new RoutingModelCheck(variants, without, withoutExport)),
-                down(new RoutingModelCheck(variants, without, withoutExport)));
+                ringOfProviders(new RoutingModelCheck(variants, disabledImportRules, disabledExportRules)),
+                ringWithPeers(new RoutingModelCheck(variants, disabledImportRules, disabledExportRules)),
+                ringOfCustomers(new RoutingModelCheck(variants, disabledImportRules, disabledExportRules)));
     }
 
     @Test
-    void everyOrderConvergesAndNothingForbiddenIsSent() {
+    void allOrdersConvergeWithoutForbiddenExports() {
         int states = 0;
-        int completeWalks = 0;
-        int walks = 0;
-        for (Restrictions tight : EACH) {
-            for (RoutingModelCheck check : topologies(Arrays.asList(OPEN, tight, null), Set.of(), Set.of())) {
+        int completeSearches = 0;
+        int searches = 0;
+        for (Restrictions restrictions : ALL_RESTRICTIONS) {
+            for (RoutingModelCheck check :
+                    topologies(Arrays.asList(UNRESTRICTED, restrictions, null), Set.of(), Set.of())) {
                 check.run(MAX_STATES);
-                assertEquals(Set.of(), check.breaches);
+                assertEquals(Set.of(), check.violations);
                 check.results.forEach(
                         (variant, results) -> assertEquals(1, results.size(), () -> variant + ": " + results));
                 assertEquals(Set.of(0, 1, 2), check.results.keySet());
-                assertFalse(check.results.get(0).iterator().next().contains("no rest"));
+                assertFalse(check.results.get(0).iterator().next().contains("not converged"));
                 states += check.states;
-                completeWalks += check.states < MAX_STATES ? 1 : 0;
-                walks++;
+                completeSearches += check.states < MAX_STATES ? 1 : 0;
+                searches++;
             }
         }
-        System.out.println(
-                "routes search: " + states + " states; " + completeWalks + " of " + walks + " walks saw all of theirs");
+        System.out.println("route model check: " + states + " states; " + completeSearches + " of " + searches
+                + " searches were complete");
         assertTrue(states > 10_000, "only " + states + " states");
     }
 
     @Test
-    void aMissingExportRuleIsFound() {
+    void aDisabledExportRuleIsDetected() {
         for (RoutingPolicy.ExportRule rule : RoutingPolicy.ExportRule.values()) {
             assertTrue(
-                    found(EnumSet.noneOf(RoutingPolicy.ImportRule.class), EnumSet.of(rule), -1, "sent"),
-                    "not found: " + rule);
+                    findsViolation(EnumSet.noneOf(RoutingPolicy.ImportRule.class), EnumSet.of(rule), -1, "export"),
+                    "no violation without rule " + rule);
         }
     }
 
     @Test
     void routesThatALeakingSiteExportsAreRejected() {
-        assertFalse(found(
+        assertFalse(findsViolation(
                 EnumSet.noneOf(RoutingPolicy.ImportRule.class), EnumSet.noneOf(RoutingPolicy.ExportRule.class), 0, ""));
-        assertFalse(found(
+        assertFalse(findsViolation(
                 EnumSet.noneOf(RoutingPolicy.ImportRule.class), EnumSet.noneOf(RoutingPolicy.ExportRule.class), 1, ""));
-        assertFalse(found(
+        assertFalse(findsViolation(
                 EnumSet.noneOf(RoutingPolicy.ImportRule.class), EnumSet.noneOf(RoutingPolicy.ExportRule.class), 3, ""));
     }
 
     @Test
-    void aMissingImportRuleIsFound() {
+    void aDisabledImportRuleIsDetected() {
         for (RoutingPolicy.ImportRule rule : RoutingPolicy.ImportRule.values()) {
             assertTrue(
-                    found(EnumSet.of(rule), EnumSet.noneOf(RoutingPolicy.ExportRule.class), 0, "taken")
-                            || found(EnumSet.of(rule), EnumSet.noneOf(RoutingPolicy.ExportRule.class), 1, "taken")
-                            || found(EnumSet.of(rule), EnumSet.noneOf(RoutingPolicy.ExportRule.class), 3, "taken"),
-                    "not found: " + rule);
+                    findsViolation(EnumSet.of(rule), EnumSet.noneOf(RoutingPolicy.ExportRule.class), 0, "import")
+                            || findsViolation(
+                                    EnumSet.of(rule), EnumSet.noneOf(RoutingPolicy.ExportRule.class), 1, "import")
+                            || findsViolation(
+                                    EnumSet.of(rule), EnumSet.noneOf(RoutingPolicy.ExportRule.class), 3, "import"),
+                    "no violation without rule " + rule);
         }
     }
 
-    private static boolean found(
-            EnumSet<RoutingPolicy.ImportRule> without,
-            EnumSet<RoutingPolicy.ExportRule> withoutExport,
-            int leaker,
-            String what) {
-        boolean found = false;
-        for (Restrictions tight : EACH) {
-            for (boolean stripsPath : leaker < 0 ? new boolean[] {false} : new boolean[] {false, true}) {
-                for (RoutingModelCheck check : topologies(Arrays.asList(OPEN, tight), without, withoutExport)) {
-                    check.leaker = leaker;
+    private static boolean findsViolation(
+            EnumSet<RoutingPolicy.ImportRule> disabledImportRules,
+            EnumSet<RoutingPolicy.ExportRule> disabledExportRules,
+            int leakingSite,
+            String direction) {
+        boolean findsViolation = false;
+        for (Restrictions restrictions : ALL_RESTRICTIONS) {
+            for (boolean stripsPath : leakingSite < 0 ? new boolean[] {false} : new boolean[] {false, true}) {
+                for (RoutingModelCheck check : topologies(
+                        Arrays.asList(UNRESTRICTED, restrictions), disabledImportRules, disabledExportRules)) {
+                    check.leakingSite = leakingSite;
                     check.stripsPath = stripsPath;
                     check.run(400);
-                    found |= check.breaches.stream().anyMatch(breach -> breach.startsWith(what));
+                    findsViolation |= check.violations.stream().anyMatch(violation -> violation.startsWith(direction));
                 }
             }
         }
-        return found;
+        return findsViolation;
     }
 }
--- a/src/test/java/merlinlever/fleet/routes/RoutingTableTest.java
+++ b/src/test/java/merlinlever/fleet/routes/RoutingTableTest.java
@@ -17,7 +17,7 @@
 import net.jqwik.api.Property;
 import org.junit.jupiter.api.Test;
 
-/** Which of a partner's routes are used, and for how long. */
+/** Tests which routes of a partner are used, and for how long. */
 class RoutingTableTest {
 
     private final List<String> logLines = new ArrayList<>();
@@ -40,7 +40,7 @@
         return Duration.ofMillis((long) (seconds * 1000));
     }
 
-    private void publishes(double at, RouteTable table) {
+    private void publishAndConfirm(double at, RouteTable table) {
         routes.offer(seconds(at), table);
         routes.renew(
                 seconds(at),
@@ -80,18 +80,18 @@
     @Test
     void aTableIsUsedOnlyWhileItsLeaseIsValid() {
         routes.offer(seconds(0), of(1, route("t", 1, "east")));
-        assertEquals(List.of(), costs(0.1), "nobody knows yet whether it stands by it");
-        publishes(0.2, of(1, route("t", 1, "east")));
+        assertEquals(List.of(), costs(0.1), "a table without a confirmation has no lease");
+        publishAndConfirm(0.2, of(1, route("t", 1, "east")));
         assertFalse(routes.isStale(seconds(5), "east"));
         assertTrue(routes.isStale(seconds(5.3), "east"));
         assertEquals(List.of(1), costs(10.0));
-        // A hundredth sooner, as this clock may be slow.
+        // The lease is shortened by the maximum clock drift of 1%.
         assertEquals(List.of(), costs(10.11));
     }
 
     @Test
-    void staleRoutesAreUsedLast() {
-        publishes(0, of(1, route("t", 1, "east")));
+    void routesOfStaleTablesAreUsedLast() {
+        publishAndConfirm(0, of(1, route("t", 1, "east")));
         RouteTable west = table("west", 1, Relation.PEER, route("t", 9, "west"));
         routes.offer(seconds(4), west);
         routes.renew(
@@ -103,20 +103,20 @@
     }
 
     @Test
-    void lateDuplicateAndOldTablesWidenNothing() {
+    void delayedDuplicateOrOldTablesPermitNoNewRoutes() {
         RouteTable first = of(1, route("t", 1, "east"));
         RouteTable second = of(2, restricted(route("t", 1, "east")));
-        publishes(0, first);
-        publishes(1, second);
+        publishAndConfirm(0, first);
+        publishAndConfirm(1, second);
         assertEquals(List.of(), costs(1));
-        publishes(2, first);
+        publishAndConfirm(2, first);
         assertEquals(List.of(), costs(2));
         assertEquals(
                 1,
                 logLines.stream()
                         .filter(line -> line.contains("reason=older-version"))
                         .count());
-        // Nor is its lease renewed by a message about another version.
+        // A renewal for another version or digest does not renew the lease.
         assertFalse(routes.renew(
                 seconds(3),
                 new RoutingTable.Renewal("east", 1, 1, RouteTableWriter.digest(first), seconds(3), seconds(10))));
@@ -125,26 +125,29 @@
                 new RoutingTable.Renewal("east", 1, 2, RouteTableWriter.digest(first), seconds(3), seconds(10))));
     }
 
-    /** The table before them is used until its lease ends, neither is adopted in whatever order they come, and it is logged. */
+    /**
+     * If two tables have the same version, neither must be adopted, regardless of their order. The previous table
+     * must be used until its lease expires, and the conflict must be logged.
+     */
     @Test
-    void twoTablesUnderOneVersionConflict() {
+    void twoTablesWithTheSameVersionConflict() {
         RouteTable one = of(2, route("t", 1, "east"), route("t", 2, "east", "x"));
         RouteTable other = of(2, route("t", 1, "east"), route("t", 3, "east", "y", "z"));
-        for (List<RouteTable> order : List.of(List.of(one, other), List.of(other, one))) {
+        for (List<RouteTable> tables : List.of(List.of(one, other), List.of(other, one))) {
             RoutingTable routingTable = newTable();
             RouteTable before = of(1, route("t", 1, "east"));
             routingTable.offer(seconds(0), before);
             routingTable.renew(
                     seconds(0),
                     new RoutingTable.Renewal("east", 1, 1, RouteTableWriter.digest(before), seconds(0), seconds(10)));
-            order.forEach(table -> {
+            tables.forEach(table -> {
                 routingTable.offer(seconds(1), table);
                 routingTable.renew(
                         seconds(4),
                         new RoutingTable.Renewal(
                                 "east", 1, 2, RouteTableWriter.digest(table), seconds(4), seconds(10)));
             });
-            order.forEach(table -> routingTable.renew(
+            tables.forEach(table -> routingTable.renew(
                     seconds(5),
                     new RoutingTable.Renewal("east", 1, 2, RouteTableWriter.digest(table), seconds(5), seconds(10))));
             routingTable.tick(seconds(9));
@@ -165,15 +168,17 @@
                         .count());
     }
 
-    /** A tighter restriction and a withdrawal are adopted; a new route and a looser one wait until there is a quorum again. */
+    /**
+     * Tighter restrictions and withdrawals must be adopted at once; new routes and looser restrictions need a quorum.
+     */
     @Test
     void withoutQuorumOnlyRestrictionsAreAdopted() {
-        publishes(
+        publishAndConfirm(
                 0,
                 of(1, route("t", 1, "east"), restricted(route("t", 2, "east", "x")), route("t", 3, "east", "x", "y")));
         assertEquals(List.of(1, 3), costs(0));
         quorumStatus = QuorumStatus.MINORITY;
-        publishes(
+        publishAndConfirm(
                 1,
                 of(
                         2,
@@ -182,7 +187,8 @@
                         route("t", 3, "east", "x", "y"),
                         route("t", 4, "east", "x", "y", "z")));
         assertEquals(List.of(3), costs(1));
-        publishes(2, of(3, route("t", 1, "east"), route("t", 2, "east", "x"), route("t", 4, "east", "x", "y", "z")));
+        publishAndConfirm(
+                2, of(3, route("t", 1, "east"), route("t", 2, "east", "x"), route("t", 4, "east", "x", "y", "z")));
         assertEquals(List.of(), costs(2));
         quorumStatus = QuorumStatus.MAJORITY;
         assertEquals(List.of(1, 2, 4), costs(3));
@@ -190,13 +196,16 @@
         assertEquals(List.of(), costs(3));
     }
 
-    /** Whatever tables come in any order: what is used allows no more than one that was published at most a lease before. */
+    /**
+     * For random sequences of tables, each candidate must be permitted by a table that was published within the last
+     * lease.
+     */
     @Property(tries = 300, seed = "43")
     void neverAllowsMoreThanWasPublishedWithinALease(@ForAll long seed) {
         SplittableRandom random = new SplittableRandom(seed);
         RoutingTable routes = newTable();
         List<RouteTable> published = new ArrayList<>();
-        List<Double> at = new ArrayList<>();
+        List<Double> publishedAt = new ArrayList<>();
         for (int step = 0; step < 60; step++) {
             double now = step * 0.7;
             if (random.nextInt(3) == 0 || published.isEmpty()) {
@@ -205,13 +214,13 @@
                         random.nextInt(4) == 0
                                 ? of(published.size() + 1)
                                 : of(published.size() + 1, random.nextBoolean() ? latest : restricted(latest)));
-                at.add(now);
+                publishedAt.add(now);
             }
             quorumStatus = QuorumStatus.values()[random.nextInt(5)];
             int index = random.nextInt(published.size());
             routes.offer(seconds(now), published.get(index));
             if (random.nextInt(3) == 0) {
-                // The partner stands by the last alone; a lease counts from when it was asked.
+                // The partner confirms only its last table.
                 RouteTable last = published.get(published.size() - 1);
                 routes.renew(
                         seconds(now),
@@ -221,9 +230,9 @@
             routes.tick(seconds(now));
             for (RouteMerger.Candidate candidate : routes.candidates(seconds(now), "t/records")) {
                 int cost = candidate.route().cost();
-                // The latest version that it may come from was the last one at some moment of the lease before.
-                double until = cost + 1 < at.size() ? at.get(cost + 1) : now;
-                assertTrue(now - until <= 10, cost + " at " + now);
+                // The cost is the index of the table. The table must have been the latest one within the last 10 s.
+                double replacedAt = cost + 1 < publishedAt.size() ? publishedAt.get(cost + 1) : now;
+                assertTrue(now - replacedAt <= 10, cost + " at " + now);
                 assertTrue(published
                         .get(cost)
                         .routes()
@@ -237,7 +246,7 @@
     }
 
     @Test
-    void flappingRoutesAreSuppressedAsRecommended() {
+    void flappingRoutesAreSuppressedForAtMostAnHour() {
         FlapDamping damping = new FlapDamping(FlapDamping.FlapDampingSettings.RECOMMENDED);
         for (int i = 0; i < 5; i++) {
             damping.recordWithdrawal(seconds(i), "r");
@@ -246,13 +255,15 @@
         damping.recordWithdrawal(seconds(5), "r");
         damping.recordWithdrawal(seconds(6), "r");
         assertTrue(damping.isSuppressed(seconds(6), "r"));
-        // From under 7,000 to 750 it is a little over three half lives.
+        // The decay from below 7,000 to 750 takes slightly more than three half-lives.
         assertTrue(damping.isSuppressed(seconds(6 + 3 * 900), "r"));
         assertFalse(damping.isSuppressed(seconds(6 + 3.3 * 900), "r"));
         for (int i = 0; i < 100; i++) {
             damping.recordWithdrawal(seconds(10_000), "r");
         }
-        assertFalse(damping.isSuppressed(seconds(10_000 + 3601), "r"), "never for more than an hour");
+        assertFalse(
+                damping.isSuppressed(seconds(10_000 + 3601), "r"),
+                "a route must not be suppressed for more than an hour");
         for (int i = 0; i < FlapDamping.MAX_ROUTES + 100; i++) {
             damping.recordChange(seconds(20_000), "r" + i);
         }
@@ -260,9 +271,9 @@
     }
 
     @Test
-    void aFlappingRouteIsNoCandidate() {
+    void aFlappingRouteIsNotACandidate() {
         for (int i = 1; i < 16; i++) {
-            publishes(
+            publishAndConfirm(
                     i,
                     i % 2 == 1
                             ? of(i, route("t", 1, "east"), route("t", 2, "east", "x"))
--- a/src/test/java/merlinlever/fleet/routes/TableChunksTest.java
+++ b/src/test/java/merlinlever/fleet/routes/TableChunksTest.java
@@ -16,11 +16,11 @@
 
 class TableChunksTest {
 
-    private static RouteTable large(long sequence, int from) {
-        List<Route> many = new ArrayList<>();
+    private static RouteTable largeTable(long sequence, int firstRoute) {
+        List<Route> routes = new ArrayList<>();
         SplittableRandom random = new SplittableRandom(sequence);
-        for (int i = from; i < from + 10_000; i++) {
-            many.add(new Route(
+        for (int i = firstRoute; i < firstRoute + 10_000; i++) {
+            routes.add(new Route(
                     "t" + i,
                     "records",
                     "10.0.0.1:" + (1 + random.nextInt(60_000)),
@@ -31,40 +31,39 @@
                     null,
                     Restrictions.NONE));
         }
-        return RouteTable.of("east", 1, sequence, Relation.PEER, Duration.ofSeconds(5), many);
+        return RouteTable.of("east", 1, sequence, Relation.PEER, Duration.ofSeconds(5), routes);
     }
 
     @Test
-    void chunksAreAssembledInAnyOrderAndOnlyOnceComplete() {
-        RouteTable first = large(1, 0);
-        RouteTable second = large(2, 50);
-        List<VersionedEntry> entries = new ArrayList<>(TableChunks.split(first));
-        assertTrue(entries.size() > 3
-                && entries.size() < TableChunks.MAX_CHUNKS
-                && entries.stream().allMatch(chunk -> chunk.value().length <= VersionedEntry.MAX_VALUE_BYTES));
-        Collections.shuffle(entries, new Random(5));
+    void chunksAreAssembledInAnyOrderWhenComplete() {
+        RouteTable first = largeTable(1, 0);
+        RouteTable second = largeTable(2, 50);
+        List<VersionedEntry> firstChunks = new ArrayList<>(TableChunks.split(first));
+        assertTrue(firstChunks.size() > 3
+                && firstChunks.size() < TableChunks.MAX_CHUNKS
+                && firstChunks.stream().allMatch(chunk -> chunk.value().length <= VersionedEntry.MAX_VALUE_BYTES));
+        Collections.shuffle(firstChunks, new Random(5));
         TableChunks receiver = new TableChunks();
-        for (VersionedEntry chunk : entries.subList(1, entries.size())) {
+        for (VersionedEntry chunk : firstChunks.subList(1, firstChunks.size())) {
             assertNull(receiver.receive(chunk));
             assertNull(receiver.receive(chunk));
         }
-        // Half of a later table leaves no way back to the older one, and is no table either.
-        List<VersionedEntry> later = TableChunks.split(second);
-        assertNull(receiver.receive(later.get(0)));
-        assertNull(receiver.receive(entries.get(0)));
+        // After the first chunk of a later table, the older table is no longer assembled.
+        List<VersionedEntry> laterChunks = TableChunks.split(second);
+        assertNull(receiver.receive(laterChunks.get(0)));
+        assertNull(receiver.receive(firstChunks.get(0)));
         RouteTable assembled = null;
-        for (VersionedEntry chunk : later) {
+        for (VersionedEntry chunk : laterChunks) {
             assembled = receiver.receive(chunk);
         }
         assertEquals(second, assembled);
     }
 
-    // One part of the list is picked out by its identity.
     @SuppressWarnings("ReferenceEquality")
     @Test
-    void corruptedOrMixedChunksAreNoTable() {
-        List<VersionedEntry> one = TableChunks.split(large(1, 0));
-        List<VersionedEntry> other = TableChunks.split(large(2, 50));
+    void corruptedOrMixedChunksAreNotAssembled() {
+        List<VersionedEntry> one = TableChunks.split(largeTable(1, 0));
+        List<VersionedEntry> other = TableChunks.split(largeTable(2, 50));
         for (int seed = 0; seed < 200; seed++) {
             SplittableRandom random = new SplittableRandom(seed);
             TableChunks receiver = new TableChunks();
@@ -79,7 +78,7 @@
         }
         TableChunks receiver = new TableChunks();
         for (int i = 0; i < one.size(); i++) {
-            // Chunks of two tables under one version.
+            // Mixes the chunks of two tables under the same version.
             VersionedEntry chunk = i % 2 == 0 ? one.get(i) : other.get(Math.min(i, other.size() - 1));
             assertNull(receiver.receive(new VersionedEntry("east", chunk.topic(), 1, 1, chunk.value())));
         }
--- a/src/test/java/merlinlever/fleet/routes/net/DownstreamFailoverTest.java
+++ b/src/test/java/merlinlever/fleet/routes/net/DownstreamFailoverTest.java
@@ -36,7 +36,7 @@
 import merlinlever.testing.faults.timeline.FixedFleetView;
 import org.junit.jupiter.api.Test;
 
-/** Calls of one backend over real sockets of one process, while its local service is lost in the middle of them. */
+/** Makes the calls of one backend over real sockets, and stops the local service during the calls. */
 class DownstreamFailoverTest {
 
     private static final FleetView FULL_QUORUM = new FixedFleetView(now -> QuorumStatus.FULL);
@@ -60,7 +60,7 @@
         loop = new EventLoop(clock, failure -> {});
     }
 
-    /** The calls that a service received. */
+    /** Number of calls that a service received. */
     private static long received(QuotaAudit audit) {
         return audit.counts()[1];
     }
@@ -102,13 +102,13 @@
         return routes;
     }
 
-    private RoutedDownstreamService downstream(
+    private RoutedDownstreamService downstreamService(
             RouteSelector.RetrySafety retrySafety, SimulatedRecordsService local, RoutingTable routes)
             throws Exception {
         return new RoutedDownstreamService(
                 loop,
                 (now, id, outcome, reply) -> {
-                    assertTrue(outcomesById.put(id, outcome) == null, "ended twice: " + id);
+                    assertTrue(outcomesById.put(id, outcome) == null, "call ended twice: " + id);
                     if (outcomesById.size() == CALLS) {
                         loop.stop();
                     }
@@ -131,18 +131,19 @@
         Map<String, SimulatedRecordsService> partners = new LinkedHashMap<>();
         partners.put("east", startService(eastAudit));
         partners.put("west", startService(westAudit));
-        RoutedDownstreamService downstream = downstream(retrySafety, local, routes(partners));
+        RoutedDownstreamService downstreamService = downstreamService(retrySafety, local, routes(partners));
         byte[] body = "body".getBytes(StandardCharsets.US_ASCII);
         for (long i = 0; i < CALLS; i++) {
             long id = i;
             loop.schedule(
                     CALL_INTERVAL.multipliedBy(i),
-                    () -> downstream.call(TestRequests.tracked(id, PRIORITY_CLASS), body, Duration.ofSeconds(5)));
+                    () -> downstreamService.call(
+                            TestRequests.tracked(id, PRIORITY_CLASS), body, Duration.ofSeconds(5)));
         }
         loop.schedule(LOSS_OF_LOCAL_SERVICE, local::lose);
         loop.schedule(TEST_TIMEOUT, loop::stop);
         loop.run();
-        assertEquals(downstream.callsToPartners(), received(eastAudit) + received(westAudit));
+        assertEquals(downstreamService.callsToPartners(), received(eastAudit) + received(westAudit));
     }
 
     private long count(Outcome outcome) {
@@ -161,7 +162,7 @@
         long east = received(eastAudit);
         long west = received(westAudit);
         assertTrue(east > 20 && west > 20, "east " + east + ", west " + west);
-        // A call that the local service may have seen is not forwarded here: that is for the controller to decide.
+        // A call that the local service may have received is not forwarded; a retry is up to the controller.
         long local = received(localAudit);
         assertTrue(local + east + west <= CALLS && local > 50, "local " + local);
         assertEquals(List.of(2L * PARTNER_CAPACITY), partnerCapacities);
