--- a/src/main/java/merlinlever/fleet/routes/RouteTableReader.java
+++ b/src/main/java/merlinlever/fleet/routes/RouteTableReader.java
@@ -79,7 +79,7 @@
             throw new UnusableTableException("route table is longer than " + MAX_CHARACTERS + " characters", null);
         }
         try {
-            return readTable(Json.strictObject(text));
+            return readTable(Json.parseStrictObject(text));
         } catch (Json.MalformedJsonException | InvalidFieldException e) {
             throw new UnusableTableException("route table is invalid: " + e.getMessage(), e);
         }
