--- a/src/main/java/merlinlever/fleet/routes/Route.java
+++ b/src/main/java/merlinlever/fleet/routes/Route.java
@@ -59,16 +59,16 @@
                 Math.max(cost, other.cost),
                 allowsNonIdempotent && other.allowsNonIdempotent,
                 path,
-                firstOrPresent(onlyToCustomerSite, other.onlyToCustomerSite),
+                minIgnoringNull(onlyToCustomerSite, other.onlyToCustomerSite),
                 restrictions.intersect(other.restrictions));
     }
 
     /** Returns the non-null argument, or the alphabetically first of two. */
-    private static String firstOrPresent(String one, String other) {
-        if (one == null || other == null) {
-            return one == null ? other : one;
+    private static String minIgnoringNull(String first, String second) {
+        if (first == null || second == null) {
+            return first == null ? second : first;
         }
-        return other.compareTo(one) < 0 ? other : one;
+        return second.compareTo(first) < 0 ? second : first;
     }
 
     Route withOnlyToCustomerSite(String site) {
--- a/src/test/java/merlinlever/fleet/routes/RoutingModelCheck.java
+++ b/src/test/java/merlinlever/fleet/routes/RoutingModelCheck.java
@@ -43,8 +43,8 @@
     int states;
     private final List<List<Route>> contents = new ArrayList<>(List.of(List.of()));
     private final Map<List<Route>, Integer> contentIndexes = new HashMap<>(Map.of(List.of(), EMPTY_CONTENT));
-    private final Map<String, Integer> exports = new HashMap<>();
-    private final Map<String, String> merges = new HashMap<>();
+    private final Map<String, Integer> contentIndexesByState = new HashMap<>();
+    private final Map<String, String> candidatesByTables = new HashMap<>();
 
     /**
      * Creates a search that starts with the first variant.
@@ -71,9 +71,9 @@
     }
 
     /** Makes two sites partners; the relation is the relation of the second site to the first. */
-    RoutingModelCheck link(int one, int other, Relation relation) {
-        relations[one][other] = relation;
-        relations[other][one] = relation.inverse();
+    RoutingModelCheck link(int first, int second, Relation relation) {
+        relations[first][second] = relation;
+        relations[second][first] = relation.inverse();
         return this;
     }
 
@@ -128,7 +128,7 @@
 
     /** Returns the index of the content that the site publishes to the receiver. */
     private int export(NetworkState state, int site, int to) {
-        return exports.computeIfAbsent(
+        return contentIndexesByState.computeIfAbsent(
                 site + ">" + to + (site == 0 ? "/" + state.published : "") + Arrays.toString(state.held[site]), key -> {
                     Route ownRoute = site == 0 ? ownRoute(state.published) : null;
                     RouteMerger merger = merger(site, state.held[site]);
@@ -297,7 +297,7 @@
             int site = x;
             result.append(SITES[x])
                     .append(":\n")
-                    .append(merges.computeIfAbsent(
+                    .append(candidatesByTables.computeIfAbsent(
                             x + Arrays.toString(state.held[x]),
                             key -> merger(site, state.held[site]).describe()));
         }
--- a/src/test/java/merlinlever/fleet/routes/RoutingTableTest.java
+++ b/src/test/java/merlinlever/fleet/routes/RoutingTableTest.java
@@ -60,8 +60,8 @@
                 .toList();
     }
 
-    private static RouteTable of(long sequence, Route... all) {
-        return table("east", sequence, Relation.PEER, all);
+    private static RouteTable eastTable(long sequence, Route... published) {
+        return table("east", sequence, Relation.PEER, published);
     }
 
     private static Route restricted(Route route) {
@@ -79,9 +79,9 @@
 
     @Test
     void aTableIsUsedOnlyWhileItsLeaseIsValid() {
-        routes.offer(seconds(0), of(1, route("t", 1, "east")));
+        routes.offer(seconds(0), eastTable(1, route("t", 1, "east")));
         assertEquals(List.of(), costs(0.1), "a table without a confirmation has no lease");
-        publishAndConfirm(0.2, of(1, route("t", 1, "east")));
+        publishAndConfirm(0.2, eastTable(1, route("t", 1, "east")));
         assertFalse(routes.isStale(seconds(5), "east"));
         assertTrue(routes.isStale(seconds(5.3), "east"));
         assertEquals(List.of(1), costs(10.0));
@@ -91,7 +91,7 @@
 
     @Test
     void routesOfStaleTablesAreUsedLast() {
-        publishAndConfirm(0, of(1, route("t", 1, "east")));
+        publishAndConfirm(0, eastTable(1, route("t", 1, "east")));
         RouteTable west = table("west", 1, Relation.PEER, route("t", 9, "west"));
         routes.offer(seconds(4), west);
         routes.renew(
@@ -104,8 +104,8 @@
 
     @Test
     void delayedDuplicateOrOldTablesPermitNoNewRoutes() {
-        RouteTable first = of(1, route("t", 1, "east"));
-        RouteTable second = of(2, restricted(route("t", 1, "east")));
+        RouteTable first = eastTable(1, route("t", 1, "east"));
+        RouteTable second = eastTable(2, restricted(route("t", 1, "east")));
         publishAndConfirm(0, first);
         publishAndConfirm(1, second);
         assertEquals(List.of(), costs(1));
@@ -131,11 +131,11 @@
      */
     @Test
     void twoTablesWithTheSameVersionConflict() {
-        RouteTable one = of(2, route("t", 1, "east"), route("t", 2, "east", "x"));
-        RouteTable other = of(2, route("t", 1, "east"), route("t", 3, "east", "y", "z"));
-        for (List<RouteTable> tables : List.of(List.of(one, other), List.of(other, one))) {
+        RouteTable first = eastTable(2, route("t", 1, "east"), route("t", 2, "east", "x"));
+        RouteTable second = eastTable(2, route("t", 1, "east"), route("t", 3, "east", "y", "z"));
+        for (List<RouteTable> tables : List.of(List.of(first, second), List.of(second, first))) {
             RoutingTable routingTable = newTable();
-            RouteTable before = of(1, route("t", 1, "east"));
+            RouteTable before = eastTable(1, route("t", 1, "east"));
             routingTable.offer(seconds(0), before);
             routingTable.renew(
                     seconds(0),
@@ -175,12 +175,16 @@
     void withoutQuorumOnlyRestrictionsAreAdopted() {
         publishAndConfirm(
                 0,
-                of(1, route("t", 1, "east"), restricted(route("t", 2, "east", "x")), route("t", 3, "east", "x", "y")));
+                eastTable(
+                        1,
+                        route("t", 1, "east"),
+                        restricted(route("t", 2, "east", "x")),
+                        route("t", 3, "east", "x", "y")));
         assertEquals(List.of(1, 3), costs(0));
         quorumStatus = QuorumStatus.MINORITY;
         publishAndConfirm(
                 1,
-                of(
+                eastTable(
                         2,
                         restricted(route("t", 1, "east")),
                         route("t", 2, "east", "x"),
@@ -188,7 +192,8 @@
                         route("t", 4, "east", "x", "y", "z")));
         assertEquals(List.of(3), costs(1));
         publishAndConfirm(
-                2, of(3, route("t", 1, "east"), route("t", 2, "east", "x"), route("t", 4, "east", "x", "y", "z")));
+                2,
+                eastTable(3, route("t", 1, "east"), route("t", 2, "east", "x"), route("t", 4, "east", "x", "y", "z")));
         assertEquals(List.of(), costs(2));
         quorumStatus = QuorumStatus.MAJORITY;
         assertEquals(List.of(1, 2, 4), costs(3));
@@ -212,8 +217,8 @@
                 Route latest = route("t", published.size(), "east");
                 published.add(
                         random.nextInt(4) == 0
-                                ? of(published.size() + 1)
-                                : of(published.size() + 1, random.nextBoolean() ? latest : restricted(latest)));
+                                ? eastTable(published.size() + 1)
+                                : eastTable(published.size() + 1, random.nextBoolean() ? latest : restricted(latest)));
                 publishedAt.add(now);
             }
             quorumStatus = QuorumStatus.values()[random.nextInt(5)];
@@ -276,8 +281,8 @@
             publishAndConfirm(
                     i,
                     i % 2 == 1
-                            ? of(i, route("t", 1, "east"), route("t", 2, "east", "x"))
-                            : of(i, route("t", 2, "east", "x")));
+                            ? eastTable(i, route("t", 1, "east"), route("t", 2, "east", "x"))
+                            : eastTable(i, route("t", 2, "east", "x")));
         }
         assertEquals(List.of(2), costs(15));
     }
--- a/src/test/java/merlinlever/fleet/routes/TableChunksTest.java
+++ b/src/test/java/merlinlever/fleet/routes/TableChunksTest.java
@@ -62,13 +62,13 @@
     @SuppressWarnings("ReferenceEquality")
     @Test
     void corruptedOrMixedChunksAreNotAssembled() {
-        List<VersionedEntry> one = TableChunks.split(largeTable(1, 0));
-        List<VersionedEntry> other = TableChunks.split(largeTable(2, 50));
+        List<VersionedEntry> firstChunks = TableChunks.split(largeTable(1, 0));
+        List<VersionedEntry> secondChunks = TableChunks.split(largeTable(2, 50));
         for (int seed = 0; seed < 200; seed++) {
             SplittableRandom random = new SplittableRandom(seed);
             TableChunks receiver = new TableChunks();
-            for (int i = 0; i < one.size(); i++) {
-                VersionedEntry chunk = one.get(i);
+            for (int i = 0; i < firstChunks.size(); i++) {
+                VersionedEntry chunk = firstChunks.get(i);
                 byte[] value = chunk.value().clone();
                 if (i == 1) {
                     value[random.nextInt(value.length)] ^= (byte) (1 << random.nextInt(8));
@@ -77,9 +77,10 @@
             }
         }
         TableChunks receiver = new TableChunks();
-        for (int i = 0; i < one.size(); i++) {
+        for (int i = 0; i < firstChunks.size(); i++) {
             // Mixes the chunks of two tables under the same version.
-            VersionedEntry chunk = i % 2 == 0 ? one.get(i) : other.get(Math.min(i, other.size() - 1));
+            VersionedEntry chunk =
+                    i % 2 == 0 ? firstChunks.get(i) : secondChunks.get(Math.min(i, secondChunks.size() - 1));
             assertNull(receiver.receive(new VersionedEntry("east", chunk.topic(), 1, 1, chunk.value())));
         }
         for (VersionedEntry malformed : List.of(
