--- a/src/main/java/merlinlever/fleet/experiments/ArmSelector.java
+++ b/src/main/java/merlinlever/fleet/experiments/ArmSelector.java
@@ -1,8 +1,8 @@
 package merlinlever.fleet.experiments;
 
-/** What an adapter needs to know of an experiment. */
+/** Selects the arm of an experiment for the adapters that apply the arm's settings. */
 public interface ArmSelector {
 
-    /** The arm that a request of this caller belongs to now, as an index into {@link Experiment#arms}. */
+    /** Returns the arm to which a request of the caller belongs now, as an index into {@link Experiment#arms}. */
     int arm(String caller);
 }
--- a/src/main/java/merlinlever/fleet/experiments/ArmSetting.java
+++ b/src/main/java/merlinlever/fleet/experiments/ArmSetting.java
@@ -6,16 +6,17 @@
 import java.util.Optional;
 
 /**
- * Everything that an arm may change. Each setting takes effect on a single request after the controller has decided about it, and only
- * within that decision: a Retry-After gets shorter, a downstream call times out earlier, another of several equal routes is tried first. So
- * no arm changes what is admitted, what runs first, what is retried or what is rejected.
+ * The settings that an arm may change. Each setting affects a single request after the controller has decided about the
+ * request, and only within this decision: a shorter Retry-After, an earlier timeout of a downstream call, a preferred
+ * route among several equal ones. Therefore, no arm changes which requests are admitted, prioritized, retried or
+ * rejected.
  */
 public enum ArmSetting {
-    /** Upper bound of the Retry-After that rejected callers get. */
+    /** Upper bound of the Retry-After sent to rejected callers. */
     MAX_RETRY_AFTER("stay-away-longest", Duration.ZERO, Duration.ofMinutes(1)),
-    /** Upper bound of the time that a downstream call is waited for. */
+    /** Upper bound of the timeout of a downstream call. */
     MAX_CALL_DURATION("call-longest", Duration.ofMillis(10), Duration.ofMinutes(1)),
-    /** The configured route that is tried first where several are usable. */
+    /** The configured route that is tried first if several routes are usable. */
     PREFERRED_ROUTE("route", null, null);
 
     private static final List<String> INVARIANT_SETTINGS = List.of(
@@ -57,35 +58,35 @@
         this.max = max;
     }
 
-    /** The lowest duration that may be configured; null for a setting that is no duration. */
+    /** Returns the minimum duration, or null if the value of this setting is not a duration. */
     Duration min() {
         return min;
     }
 
-    /** The highest duration that may be configured; null for a setting that is no duration. */
+    /** Returns the maximum duration, or null if the value of this setting is not a duration. */
     Duration max() {
         return max;
     }
 
-    /** The setting of that key of the configuration. */
+    /** Returns the setting with the given configuration key. */
     static Optional<ArmSetting> ofKey(String key) {
         return Arrays.stream(values())
                 .filter(setting -> setting.key.equals(key))
                 .findFirst();
     }
 
-    /** Why a key that is none of these cannot be changed by an arm; for people. */
+    /** Returns a human-readable reason why an arm cannot change a key that is not one of these settings. */
     static String rejectionReason(String key) {
         String section = key.contains(".") ? key.substring(0, key.indexOf('.')) : key;
         String reason;
         if (INVARIANT_SETTINGS.contains(key) || INVARIANT_SETTINGS.contains(section)) {
-            reason = "it belongs to the four rules, which are the same in all arms";
+            reason = "it belongs to the safety invariants, which are the same in all arms";
         } else if (PRIORITY_SETTINGS.contains(key) || PRIORITY_SETTINGS.contains(section)) {
-            reason = "it belongs to the order by worth, which is the same in all arms";
+            reason = "it belongs to the prioritization by value, which is the same in all arms";
         } else if (DESIGN_PARAMETERS.contains(key)) {
-            reason = "the figures of the design are the same in all arms";
+            reason = "it is a design parameter, which is the same in all arms";
         } else {
-            reason = "it is not known";
+            reason = "it is not a known setting";
         }
         return reason + "; an arm may set stay-away-longest, call-longest or route";
     }
--- a/src/main/java/merlinlever/fleet/experiments/BucketAssignment.java
+++ b/src/main/java/merlinlever/fleet/experiments/BucketAssignment.java
@@ -4,18 +4,19 @@
 import java.util.Arrays;
 
 /**
- * Assigns callers to arms: a hash of the caller's key, salted with the whole configuration of the experiment, selects one of
- * {@value #BUCKET_COUNT} buckets, and each arm has its part of these. So a caller has the same arm at all backends and times, callers of one
- * arm are distributed anew in the next experiment, and every bucket holds a random sample of callers: the unit that the test counts by.
+ * Assigns callers to arms: a hash of the caller's key, salted with a digest of the experiment's configuration, selects
+ * one of {@value #BUCKET_COUNT} buckets, and each arm owns a range of buckets. A caller therefore has the same arm at
+ * all backends at all times, and the next experiment redistributes the callers of each arm. Every bucket holds a random
+ * sample of callers and is the sampling unit of the statistical test.
  */
 public final class BucketAssignment {
 
-    /** Divisor of all shares of arms. */
+    /** Number of buckets that the arms share. */
     public static final int BUCKET_COUNT = 256;
 
     private static final long FNV_OFFSET_BASIS = 0xcbf29ce484222325L;
     private static final long FNV_PRIME = 0x100000001b3L;
-    /** The bucket is in the highest eight bits of the hash. */
+    /** The highest eight bits of the hash are the bucket. */
     private static final int BUCKET_SHIFT = 56;
 
     private final long salt;
@@ -36,34 +37,34 @@
         }
     }
 
-    /** The salted hash of a caller's key. */
+    /** Returns the salted hash of a caller's key. */
     public long hash(String caller) {
         return hash(salt, caller.getBytes(StandardCharsets.UTF_8));
     }
 
-    /** The bucket of a caller's hash. */
+    /** Returns the bucket of a caller's hash. */
     public static int bucket(long hash) {
         return (int) (hash >>> BUCKET_SHIFT);
     }
 
-    /** The arm that a bucket belongs to. */
+    /** Returns the arm that owns a bucket. */
     public int armOfBucket(int bucket) {
         return armOfBucket[bucket];
     }
 
-    /** The arm that a caller belongs to. */
+    /** Returns the arm of a caller. */
     public int arm(String caller) {
         return armOfBucket[bucket(hash(caller))];
     }
 
-    /** The share of all callers that an arm has, from 0 to 1. */
+    /** Returns an arm's share of all buckets, from 0 to 1. */
     public double share(int arm) {
         return Arrays.stream(armOfBucket).filter(other -> other == arm).count() / (double) BUCKET_COUNT;
     }
 
     /**
-     * FNV-1a (G. Fowler, L. C. Noll, K.-P. Vo) with the finalizer of SplittableRandom (G. Steele et al., 2014), as the high bits of FNV alone
-     * are badly mixed.
+     * Computes FNV-1a (G. Fowler, L. C. Noll, K.-P. Vo) with the finalizer of SplittableRandom (G. Steele et al.,
+     * 2014), because FNV alone mixes the high bits poorly.
      */
     static long hash(long salt, byte[] bytes) {
         long hash = mix(salt ^ FNV_OFFSET_BASIS);
@@ -73,7 +74,7 @@
         return mix(mix(hash) + salt);
     }
 
-    /** The finalizer of SplittableRandom: a bijection whose output bits depend on all input bits. */
+    /** Applies the finalizer of SplittableRandom, a bijection whose output bits depend on all input bits. */
     static long mix(long x) {
         long z = (x ^ (x >>> 30)) * 0xbf58476d1ce4e5b9L;
         z = (z ^ (z >>> 27)) * 0x94d049bb133111ebL;
--- a/src/main/java/merlinlever/fleet/experiments/DistinctSample.java
+++ b/src/main/java/merlinlever/fleet/experiments/DistinctSample.java
@@ -3,9 +3,10 @@
 import java.util.TreeSet;
 
 /**
- * A sample of distinct callers with the arms that they were seen in: all callers whose second hash is under a threshold, which is halved
- * whenever more than {@value #MAX_CALLERS} are under it (P. Gibbons, Distinct Sampling, 2001). The sample depends only on the set of
- * callers, so samples can be merged in any order and any number of times, and a caller of a thousand requests counts once.
+ * A sample of distinct callers with the arms in which they were observed. The sample contains all callers whose second
+ * hash is below a threshold, and the threshold is halved whenever the sample exceeds {@value #MAX_CALLERS} callers (P.
+ * Gibbons, Distinct Sampling, 2001). The sample depends only on the set of callers, so samples can be merged in any
+ * order and repeatedly, and each caller counts once however many requests the caller sent.
  */
 final class DistinctSample {
 
@@ -17,10 +18,12 @@
     private static final int HASH_BITS = 32;
 
     private int level;
-    /** The second hash in the upper bits, the arm in the lowest eight: a caller that was seen in two arms is in it twice. */
+    /**
+     * The second hash in the upper bits and the arm in the lowest eight; a caller observed in two arms has two entries.
+     */
     private final TreeSet<Long> callers = new TreeSet<>();
 
-    /** @param hash of the caller ({@link BucketAssignment#hash(String)}) */
+    /** @param hash the caller's hash ({@link BucketAssignment#hash(String)}) */
     void add(long hash, int arm) {
         long secondHash = BucketAssignment.mix(hash ^ SECOND_HASH_SALT) >>> HASH_BITS;
         addCaller((secondHash << ARM_BITS) | arm);
@@ -50,12 +53,12 @@
         other.callers.forEach(this::addCaller);
     }
 
-    /** How often the threshold was halved. */
+    /** Returns how often the threshold was halved. */
     int level() {
         return level;
     }
 
-    /** Of each arm the callers in the sample. */
+    /** Returns the number of sampled callers of each arm. */
     long[] callersByArm(int armCount) {
         long[] counts = new long[armCount];
         callers.forEach(caller -> counts[(int) (caller & ARM_MASK)]++);
@@ -72,7 +75,7 @@
         }
     }
 
-    /** @throws IllegalArgumentException if this is not what {@link #encodeTo} writes */
+    /** @throws IllegalArgumentException if the input is not an encoding by {@link #encodeTo} */
     static DistinctSample decode(VarInts in, int armCount) {
         DistinctSample sample = new DistinctSample();
         sample.level = (int) in.next(HASH_BITS);
@@ -81,7 +84,7 @@
         for (long i = 0; i < count; i++) {
             caller += in.next(1L << (HASH_BITS + ARM_BITS));
             if (!sample.isUnderThreshold(caller) || (caller & ARM_MASK) >= armCount) {
-                throw new IllegalArgumentException("a caller that is not in the sample");
+                throw new IllegalArgumentException("a caller is over the sampling threshold or has an unknown arm");
             }
             sample.callers.add(caller);
         }
--- a/src/main/java/merlinlever/fleet/experiments/Experiment.java
+++ b/src/main/java/merlinlever/fleet/experiments/Experiment.java
@@ -7,18 +7,19 @@
 import java.util.StringJoiner;
 
 /**
- * The configuration of an experiment, the same at all backends. It is the experiment's identity: {@link #key} contains a digest of all of
- * it, so that one that is changed under the same name is another experiment, with counts and a result of its own.
+ * The configuration of an experiment, the same at all backends. The configuration identifies the experiment:
+ * {@link #key} contains a digest of all settings, so a changed configuration under the same name is a different
+ * experiment with separate counts and a separate result.
  *
- * @param arms 2 to {@value #MAX_ARMS}
- * @param safeArm index of the arm that runs wherever callers are not split
- * @param alpha probability of a wrong winner at most, over the whole experiment and all evaluations
- * @param harmAlpha probability of wrongly calling an arm harmful at most; not lower than {@code alpha}
- * @param minDifference a winner is better by more than this, as a share of the requests or of their highest value
- * @param maxDuration the experiment ends without a winner after callers were split for so long
- * @param leaseDuration for so long a backend goes on splitting after the leader confirmed that the experiment goes on
- * @param maxValue higher values of a request count as this one
- * @param maxDeaths the experiment ends with the safe arm when so many backends have died while splitting
+ * @param arms the arms, from 2 to {@value #MAX_ARMS}
+ * @param safeArm index of the arm that applies to all callers while they are not split among the arms
+ * @param alpha maximum probability of a false winner over the whole experiment and all evaluations
+ * @param harmAlpha maximum probability of a false report of harm; at least {@code alpha}
+ * @param minDifference difference that a winner has to exceed, as a share of the requests or of the maximum value
+ * @param maxDuration the experiment ends without a winner after callers have been split for this duration
+ * @param leaseDuration how long a backend may split callers after a lease request that the leader granted
+ * @param maxValue upper bound at which the value of a request is capped
+ * @param maxCrashes the experiment ends with the safe arm after this number of backend crashes while splitting callers
  */
 public record Experiment(
         String name,
@@ -31,20 +32,20 @@
         Duration maxDuration,
         Duration leaseDuration,
         double maxValue,
-        int maxDeaths) {
+        int maxCrashes) {
 
-    /** The largest number of arms. */
+    /** Maximum number of arms. */
     public static final int MAX_ARMS = 8;
 
     private static final long DIGEST_SALT = 0x7472_6961_6cL;
 
     /**
-     * What one group of callers gets.
+     * The settings that apply to one group of callers.
      *
-     * @param weight its share of the callers, relative to the sum of all weights
-     * @param maxRetryAfter upper bound for the Retry-After that rejected callers get, if this arm changes it
-     * @param maxCallDuration upper bound for the time that a downstream call is waited for, if this arm changes it
-     * @param preferredRoute which of several usable routes is tried first, if this arm changes it
+     * @param weight the group's share of the callers, relative to the sum of all weights
+     * @param maxRetryAfter upper bound of the Retry-After sent to rejected callers, if the arm sets one
+     * @param maxCallDuration upper bound of the timeout of a downstream call, if the arm sets one
+     * @param preferredRoute the route that is tried first if several routes are usable, if the arm sets one
      */
     public record Arm(
             String name,
@@ -53,19 +54,19 @@
             Optional<Duration> maxCallDuration,
             Optional<String> preferredRoute) {
 
-        /** An arm that changes nothing. */
+        /** Creates an arm that changes no setting. */
         public static Arm unchanged(String name, int weight) {
             return new Arm(name, weight, Optional.empty(), Optional.empty(), Optional.empty());
         }
 
-        /** The Retry-After that this arm's callers get in place of the controller's. */
-        public Duration retryAfter(Duration ofController) {
-            return shorter(maxRetryAfter, ofController);
+        /** Returns the Retry-After for callers of this arm, at most the one that the controller chose. */
+        public Duration retryAfter(Duration controllerRetryAfter) {
+            return shorter(maxRetryAfter, controllerRetryAfter);
         }
 
-        /** The time limit of this arm's downstream calls in place of the controller's. */
-        public Duration callDuration(Duration ofController) {
-            return shorter(maxCallDuration, ofController);
+        /** Returns the timeout of downstream calls in this arm, at most the one that the controller chose. */
+        public Duration callDuration(Duration controllerTimeout) {
+            return shorter(maxCallDuration, controllerTimeout);
         }
 
         private static Duration shorter(Optional<Duration> bound, Duration duration) {
@@ -78,14 +79,14 @@
         arms = List.copyOf(arms);
     }
 
-    /** A 64-bit hash of the whole configuration. */
+    /** Returns a 64-bit hash of all settings. */
     public long digest() {
         return BucketAssignment.hash(DIGEST_SALT, canonicalText().getBytes(StandardCharsets.UTF_8));
     }
 
     /**
-     * The text that the digest is computed of. Backends of all versions of the program agree on it, so it keeps the names that things had in
-     * the first one.
+     * Returns the input of the digest. Backends of all versions of the program have to compute the same text, so the
+     * names of the first version are kept.
      */
     private String canonicalText() {
         StringJoiner armTexts = new StringJoiner(", ", "[", "]");
@@ -98,15 +99,15 @@
         return "Trial[name=" + name + ", version=" + version + ", arms=" + armTexts + ", safe=" + safeArm + ", alpha="
                 + alpha + ", harm=" + harmAlpha + ", difference=" + minDifference + ", longest=" + maxDuration
                 + ", lease=" + leaseDuration
-                + ", valueMost=" + maxValue + ", deaths=" + maxDeaths + "]";
+                + ", valueMost=" + maxValue + ", deaths=" + maxCrashes + "]";
     }
 
-    /** Identifies the experiment in its register, its counts and its assignment of callers. */
+    /** Returns the identifier of the experiment in its register, its counts and its assignment of callers. */
     public String key() {
         return name + "@" + version + "-" + String.format("%016x", digest());
     }
 
-    /** The topic of its counts in the replicated store. */
+    /** Returns the topic of the experiment's counts in the replicated store. */
     public String topic() {
         return "trial/" + name;
     }
--- a/src/main/java/merlinlever/fleet/experiments/ExperimentConfigReader.java
+++ b/src/main/java/merlinlever/fleet/experiments/ExperimentConfigReader.java
@@ -12,12 +12,12 @@
 import java.util.function.Predicate;
 
 /**
- * Reads the experiments of a flattened configuration ({@code trials.0.name}, {@code trials.0.arms.1.weight} and so on) and validates
- * them.
+ * Reads and validates the experiments of a flattened configuration ({@code trials.0.name},
+ * {@code trials.0.arms.1.weight} and the like).
  */
 public final class ExperimentConfigReader {
 
-    /** The configuration of an experiment is not valid; the message is one line for the operator. */
+    /** Thrown if the configuration of an experiment is invalid; the message is a single line for the operator. */
     public static final class InvalidExperimentException extends Exception {
         private static final long serialVersionUID = 1;
 
@@ -26,10 +26,13 @@
         }
     }
 
-    /** The largest number of experiments at a time. */
+    /** Maximum number of concurrent experiments. */
     public static final int MAX_EXPERIMENTS = 4;
 
-    /** An arm has at least one in so many parts of all weights; with fewer callers nothing can be told. */
+    /**
+     * Maximum ratio of all weights to the weight of one arm; an arm with fewer callers cannot yield a significant
+     * result.
+     */
     private static final int MAX_WEIGHT_RATIO = 16;
 
     private static final String PREFIX = "trials.";
@@ -57,9 +60,9 @@
     }
 
     /**
-     * Reads all experiments, in their order.
+     * Reads all experiments in the configured order.
      *
-     * @param isRoute whether a route of that name is configured
+     * @param isRoute tests whether a route with the given name is configured
      */
     public static List<Experiment> read(Map<String, String> configuration, Predicate<String> isRoute)
             throws InvalidExperimentException {
@@ -73,15 +76,15 @@
     private List<Experiment> readAll() throws InvalidExperimentException {
         int count = count();
         if (count > MAX_EXPERIMENTS) {
-            throw new InvalidExperimentException(
-                    "the configuration has " + count + " trials; " + MAX_EXPERIMENTS + " at the most");
+            throw new InvalidExperimentException("the configuration has " + count
+                    + " experiments under trials; at most " + MAX_EXPERIMENTS + " are allowed");
         }
         List<Experiment> experiments = new ArrayList<>();
         Set<String> names = new HashSet<>();
         for (int i = 0; i < count; i++) {
             Experiment experiment = readExperiment(PREFIX + i + ".");
             if (!names.add(experiment.name())) {
-                throw invalid(PREFIX + i + ".name", " is that of another trial: " + experiment.name());
+                throw invalid(PREFIX + i + ".name", " is already the name of another experiment: " + experiment.name());
             }
             experiments.add(experiment);
         }
@@ -94,7 +97,10 @@
             if (path.startsWith(PREFIX)) {
                 String[] parts = path.split("\\.");
                 if (!parts[1].matches("[0-9]{1,2}") || parts.length < 3 || !KEYS.contains(parts[2])) {
-                    throw invalid(path, " is not known; a trial has " + String.join(", ", new TreeSet<>(KEYS)));
+                    throw invalid(
+                            path,
+                            " is not a known setting; an experiment has the settings "
+                                    + String.join(", ", new TreeSet<>(KEYS)));
                 }
                 count = Math.max(count, Integer.parseInt(parts[1]) + 1);
             }
@@ -105,24 +111,24 @@
     private Experiment readExperiment(String prefix) throws InvalidExperimentException {
         String name = name(prefix + "name");
         List<Experiment.Arm> arms = readArms(prefix);
-        int safe = safeArm(prefix, arms);
+        int safeIndex = safeArm(prefix, arms);
         double alpha = number(prefix + "alpha", 0.05, 1e-6, 0.2);
-        double harm = number(prefix + "harm", Math.max(0.1, alpha), 1e-6, 0.5);
-        if (harm < alpha) {
-            throw invalid(prefix + "harm", " is to be looser than alpha, so " + alpha + " or more");
+        double harmAlpha = number(prefix + "harm", Math.max(0.1, alpha), 1e-6, 0.5);
+        if (harmAlpha < alpha) {
+            throw invalid(prefix + "harm", " must be at least alpha, which is " + alpha + " here");
         }
-        Duration longest = duration(prefix + "longest", "7d", Duration.ofMinutes(1), Duration.ofDays(90));
-        Duration lease = duration(prefix + "lease", "10s", Duration.ofSeconds(1), Duration.ofMinutes(10));
+        Duration maxDuration = duration(prefix + "longest", "7d", Duration.ofMinutes(1), Duration.ofDays(90));
+        Duration leaseDuration = duration(prefix + "lease", "10s", Duration.ofSeconds(1), Duration.ofMinutes(10));
         return new Experiment(
                 name,
                 (int) wholeNumber(prefix + "version", 1, 1, 1_000_000),
                 arms,
-                safe,
+                safeIndex,
                 alpha,
-                harm,
+                harmAlpha,
                 number(prefix + "difference", 0.01, 0, 0.5),
-                longest,
-                lease,
+                maxDuration,
+                leaseDuration,
                 number(prefix + "value-most", 1, 1e-6, 1e9),
                 (int) wholeNumber(prefix + "deaths", 3, 1, 10_000));
     }
@@ -130,7 +136,7 @@
     private List<Experiment.Arm> readArms(String prefix) throws InvalidExperimentException {
         int count = armCount(prefix);
         if (count < 2 || count > Experiment.MAX_ARMS) {
-            throw invalid(prefix + "arms", " has " + count + "; 2 to " + Experiment.MAX_ARMS + " are needed");
+            throw invalid(prefix + "arms", " has " + count + " entries; 2 to " + Experiment.MAX_ARMS + " are required");
         }
         List<Experiment.Arm> arms = new ArrayList<>();
         Set<String> names = new HashSet<>();
@@ -138,7 +144,7 @@
         for (int i = 0; i < count; i++) {
             Experiment.Arm arm = readArm(prefix + "arms." + i + ".");
             if (!names.add(arm.name())) {
-                throw invalid(prefix + "arms." + i + ".name", " is that of another arm: " + arm.name());
+                throw invalid(prefix + "arms." + i + ".name", " is already the name of another arm: " + arm.name());
             }
             arms.add(arm);
             totalWeight += arm.weight();
@@ -147,7 +153,7 @@
             if (arms.get(i).weight() * MAX_WEIGHT_RATIO < totalWeight) {
                 throw invalid(
                         prefix + "arms." + i + ".weight",
-                        " is under a sixteenth of all weights, too little to tell anything by");
+                        " is under a sixteenth of all weights, too few callers for a significant result");
             }
         }
         return arms;
@@ -160,7 +166,7 @@
             if (path.startsWith(armsPrefix)) {
                 String index = path.substring(armsPrefix.length()).split("\\.", 2)[0];
                 if (!index.matches("[0-9]")) {
-                    throw invalid(prefix + "arms", " is a list of 2 to " + Experiment.MAX_ARMS + " arms");
+                    throw invalid(prefix + "arms", " must be a list of 2 to " + Experiment.MAX_ARMS + " arms");
                 }
                 count = Math.max(count, Integer.parseInt(index) + 1);
             }
@@ -175,7 +181,8 @@
                 return i;
             }
         }
-        throw invalid(prefix + "safe", " names the arm that runs where nothing is split; '" + name + "' is none");
+        throw invalid(
+                prefix + "safe", " must name the arm for callers that are not split; '" + name + "' is not an arm");
     }
 
     private Experiment.Arm readArm(String prefix) throws InvalidExperimentException {
@@ -202,7 +209,7 @@
     private static ArmSetting armSetting(String path, String key) throws InvalidExperimentException {
         Optional<ArmSetting> setting = ArmSetting.ofKey(key);
         if (setting.isEmpty()) {
-            throw invalid(path, " cannot be tried: " + ArmSetting.rejectionReason(key));
+            throw invalid(path, " cannot be changed by an arm: " + ArmSetting.rejectionReason(key));
         }
         return setting.get();
     }
@@ -210,7 +217,7 @@
     private String route(String path) throws InvalidExperimentException {
         String route = configuration.get(path);
         if (!isRoute.test(route)) {
-            throw invalid(path, " is no stated route: " + route);
+            throw invalid(path, " is not a configured route: " + route);
         }
         return route;
     }
@@ -218,7 +225,7 @@
     private String name(String path) throws InvalidExperimentException {
         String name = configuration.getOrDefault(path, "");
         if (!name.matches(NAME_PATTERN)) {
-            throw invalid(path, " has 1 to 20 of a-z, 0-9 and -, not '" + name + "'");
+            throw invalid(path, " must have 1 to 20 characters of a-z, 0-9 and -, not '" + name + "'");
         }
         return name;
     }
@@ -226,22 +233,22 @@
     private long wholeNumber(String path, long defaultValue, long min, long max) throws InvalidExperimentException {
         double number = number(path, (double) defaultValue, (double) min, (double) max);
         if (number != Math.rint(number)) {
-            throw invalid(path, " is to be a whole number from " + min + " to " + max);
+            throw invalid(path, " must be a whole number from " + min + " to " + max);
         }
         return (long) number;
     }
 
     private double number(String path, double defaultValue, double min, double max) throws InvalidExperimentException {
         String text = configuration.get(path);
-        double number = text == null ? defaultValue : parsed(text);
+        double number = text == null ? defaultValue : parseNumber(text);
         if (number >= min && number <= max) {
             return number;
         }
-        throw invalid(path, " is to be from " + plain(min) + " to " + plain(max) + ", not '" + text + "'");
+        throw invalid(path, " must be from " + format(min) + " to " + format(max) + ", not '" + text + "'");
     }
 
-    /** Not a number, which is in no range, if the text is none. */
-    private static double parsed(String text) {
+    /** Returns NaN, which is outside every range, if the text is not a number. */
+    private static double parseNumber(String text) {
         try {
             return Double.parseDouble(text);
         } catch (NumberFormatException e) {
@@ -249,7 +256,7 @@
         }
     }
 
-    private static String plain(double number) {
+    private static String format(double number) {
         return new BigDecimal("" + number).stripTrailingZeros().toPlainString();
     }
 
@@ -257,16 +264,16 @@
             throws InvalidExperimentException {
         String text = configuration.getOrDefault(path, defaultValue);
         if (!text.matches(DURATION_PATTERN)) {
-            throw invalid(path, " is a span such as 500ms, 10s, 12h or 7d, not '" + text + "'");
+            throw invalid(path, " must be a duration such as 500ms, 10s, 12h or 7d, not '" + text + "'");
         }
-        Duration duration = parsedDuration(text);
+        Duration duration = parseDuration(text);
         if (duration.compareTo(min) < 0 || duration.compareTo(max) > 0) {
-            throw invalid(path, " is to be from " + plain(min) + " to " + plain(max));
+            throw invalid(path, " must be from " + format(min) + " to " + format(max));
         }
         return duration;
     }
 
-    private static Duration parsedDuration(String text) {
+    private static Duration parseDuration(String text) {
         String unit = text.replaceAll("[0-9]", "");
         long number = Long.parseLong(text.substring(0, text.length() - unit.length()));
         return switch (unit) {
@@ -277,7 +284,7 @@
         };
     }
 
-    private static String plain(Duration duration) {
+    private static String format(Duration duration) {
         if (duration.toMillis() < 1000) {
             return duration.toMillis() + "ms";
         }
--- a/src/main/java/merlinlever/fleet/experiments/ExperimentCounts.java
+++ b/src/main/java/merlinlever/fleet/experiments/ExperimentCounts.java
@@ -9,23 +9,25 @@
 import merlinlever.fleet.experiments.RunningMoments.BucketSums;
 
 /**
- * The results of requests in one experiment, by arm and by bucket of callers ({@link BucketAssignment}). Counts of several processes and
- * backends can be added up; those of another experiment, also of the same name, are rejected.
+ * Counts the results of requests in one experiment by arm and by bucket of callers ({@link BucketAssignment}). Counts
+ * of several processes and backends can be added up; counts of a different experiment are rejected, even under the same
+ * name.
  *
- * <p>A retry belongs to its request: it is not counted as a new one, and its result replaces that of the attempt before. Here that is known
- * by the request's key; a retry of a request that was first sent to another backend is known by being marked as one, and its success
- * counts here while the request counts there.
+ * <p>A retry is not counted as a new request, and its result replaces the result of the previous attempt. The request's
+ * key identifies a retry of a request that this backend has received. A retry of a request first sent to another
+ * backend is identified by its mark: this backend counts its success, and the other backend counts the request.
  *
- * <p>For the test a bucket counts no more than {@value #MAX_OVER_MEAN} times the mean of all buckets (and {@value #MIN_BUCKET_REQUESTS}), so
- * a caller with half of the traffic has little weight; which requests count is decided when they arrive, so no result has an influence on
- * it.
+ * <p>The statistical test includes at most {@value #MAX_OVER_MEAN} times the mean of all buckets plus
+ * {@value #MIN_BUCKET_REQUESTS} requests of a bucket, so a caller with half of the traffic has little weight. A request
+ * is included or excluded on arrival, so the selection does not depend on results.
  *
- * <p>Bounded: {@value BucketAssignment#BUCKET_COUNT} buckets, {@link DistinctSample#MAX_CALLERS} sampled callers,
- * {@value #MAX_KNOWN_REQUESTS} requests that are remembered for their retries; encoded it is under 14 KiB. Event loop only.
+ * <p>Memory is bounded by {@value BucketAssignment#BUCKET_COUNT} buckets, {@link DistinctSample#MAX_CALLERS} sampled
+ * callers and {@value #MAX_KNOWN_REQUESTS} requests kept for matching retries; an encoding has less than 14 KiB. Used
+ * on the event loop only.
  */
 public final class ExperimentCounts {
 
-    /** The result of one attempt. On the wire nowhere. */
+    /** The result of one attempt; not part of any encoding. */
     public enum RequestResult {
         SERVED,
         LATE,
@@ -33,7 +35,7 @@
         OTHER
     }
 
-    /** All requests of one arm; values in thousandths of the highest, squares of these in millionths. */
+    /** Totals of one arm; values in thousandths of the maximum value, squared values in millionths. */
     public record ArmTotals(long requests, long served, long late, long rejected, long value, long squaredValue) {}
 
     private static final class MutableArmTotals {
@@ -67,7 +69,7 @@
         }
 
         void decode(VarInts in) {
-            // The bounds are as wide for all but the squares.
+            // All counters except the squares share the bound of the value.
             requests = in.next(MAX_COUNT * VALUE_SCALE);
             served = in.next(MAX_COUNT * VALUE_SCALE);
             late = in.next(MAX_COUNT * VALUE_SCALE);
@@ -77,23 +79,23 @@
         }
     }
 
-    /** One request, over all its attempts here. */
+    /** A request with all its attempts at this backend. */
     public static final class CountedRequest {
         private final int bucket;
         private final int arm;
-        /** Whether it counts for the test. */
-        private final boolean tested;
+        /** Whether the statistical test includes the request. */
+        private final boolean includedInTest;
 
         private boolean succeeded;
         private boolean rejected;
 
-        private CountedRequest(int bucket, int arm, boolean tested) {
+        private CountedRequest(int bucket, int arm, boolean includedInTest) {
             this.bucket = bucket;
             this.arm = arm;
-            this.tested = tested;
+            this.includedInTest = includedInTest;
         }
 
-        /** The arm that the request belongs to. */
+        /** Returns the arm of the request. */
         public int arm() {
             return arm;
         }
@@ -103,27 +105,27 @@
     static final int MAX_OVER_MEAN = 4;
     static final int MIN_BUCKET_REQUESTS = 16;
     static final int MAX_KNOWN_REQUESTS = 4096;
-    /** Values are counted in so many parts of the highest one. */
+    /** Number of parts into which the maximum value is divided for counting. */
     static final int VALUE_SCALE = 1000;
 
     private static final long MAX_COUNT = 1L << 40;
-    private static final long MAX_DEATHS = 1_000_000;
+    private static final long MAX_CRASHES = 1_000_000;
 
     private final Experiment experiment;
     private final BucketAssignment assignment;
     private final MutableArmTotals[] totals;
-    /** What counts for the test, by bucket. */
+    /** Requests, served requests and values that the statistical test includes, by bucket. */
     final long[] requests = new long[BucketAssignment.BUCKET_COUNT];
 
     final long[] served = new long[BucketAssignment.BUCKET_COUNT];
     final long[] value = new long[BucketAssignment.BUCKET_COUNT];
-    private long testedRequests;
+    private long requestsInTest;
     final DistinctSample sample = new DistinctSample();
-    /** Processes that ended without a shutdown while they were splitting. */
-    private long deaths;
+    /** Number of processes that ended without a shutdown while splitting callers. */
+    private long crashes;
 
     private long splitMs;
-    /** Whether this process is splitting, so that its end would be a death. */
+    /** Whether this process is splitting callers, so an end without a shutdown counts as a crash. */
     private boolean splitting = true;
 
     private final Map<Long, CountedRequest> knownRequests = new LinkedHashMap<>(16, 0.75f, true) {
@@ -146,9 +148,9 @@
     // ---- counting
 
     /**
-     * Counts an arriving request for the arm of its caller.
+     * Counts an arriving request in the arm of the caller.
      *
-     * @param requestKey which retries of the request have as well, if there is one
+     * @param requestKey key that the request shares with its retries, if the request has a key
      * @param retry whether the request is marked as a retry
      */
     public CountedRequest requestArrived(String caller, Optional<String> requestKey, boolean retry) {
@@ -162,25 +164,25 @@
         int bucket = BucketAssignment.bucket(callerHash);
         int arm = assignment.armOfBucket(bucket);
         sample.add(callerHash, arm);
-        boolean tested = requests[bucket] < maxBucketRequests();
+        boolean includedInTest = requests[bucket] < maxBucketRequests();
         if (!retry) {
             totals[arm].requests++;
-            if (tested) {
+            if (includedInTest) {
                 requests[bucket]++;
-                testedRequests++;
+                requestsInTest++;
             }
         }
-        CountedRequest request = new CountedRequest(bucket, arm, tested);
+        CountedRequest request = new CountedRequest(bucket, arm, includedInTest);
         requestHash.ifPresent(hash -> knownRequests.put(hash, request));
         return request;
     }
 
-    /** So many requests of one bucket count for the test at present. */
+    /** Returns the number of requests of one bucket that the statistical test includes at present. */
     private long maxBucketRequests() {
-        return MIN_BUCKET_REQUESTS + MAX_OVER_MEAN * (testedRequests / BucketAssignment.BUCKET_COUNT);
+        return MIN_BUCKET_REQUESTS + MAX_OVER_MEAN * (requestsInTest / BucketAssignment.BUCKET_COUNT);
     }
 
-    /** Counts the result of an attempt, unless an earlier one of the request succeeded. */
+    /** Counts the result of an attempt, unless an earlier attempt of the request succeeded. */
     public void attemptEnded(CountedRequest request, RequestResult result, double requestValue) {
         if (request.succeeded) {
             return;
@@ -206,7 +208,7 @@
         }
         arm.value += scaledValue;
         arm.squaredValue += scaledValue * scaledValue;
-        if (request.tested) {
+        if (request.includedInTest) {
             served[request.bucket] += inTime ? 1 : 0;
             value[request.bucket] += scaledValue;
         }
@@ -216,19 +218,19 @@
         return Math.round(VALUE_SCALE * Math.max(0, Math.min(1, requestValue / experiment.maxValue())));
     }
 
-    /** This process has split callers for so much longer. */
+    /** Adds to the time for which this process has split callers. */
     public void addSplitTime(Duration duration) {
         splitMs += duration.toMillis();
     }
 
-    /** Whether this process is splitting callers: if it ends meanwhile without a shutdown, that counts as a death. */
+    /** Sets whether this process is splitting callers; an end without a shutdown then counts as a crash. */
     public void setSplitting(boolean splitting) {
         this.splitting = splitting;
     }
 
-    // ---- adding up
+    // ---- aggregation
 
-    /** Adds the counts of another process of the same experiment. */
+    /** Adds the counts that another process made for the same experiment. */
     public void add(ExperimentCounts other) {
         for (int arm = 0; arm < totals.length; arm++) {
             totals[arm].add(other.totals[arm]);
@@ -238,39 +240,43 @@
             served[bucket] += other.served[bucket];
             value[bucket] += other.value[bucket];
         }
-        testedRequests += other.testedRequests;
+        requestsInTest += other.requestsInTest;
         sample.merge(other.sample);
-        deaths += other.deaths;
+        crashes += other.crashes;
     }
 
-    /** These are the counts of an earlier process of this backend: it has died if it was still splitting. */
-    ExperimentCounts ofEndedProcess() {
-        deaths += splitting ? 1 : 0;
+    /**
+     * Marks the counts as those of an ended process, which crashed if it was still splitting callers; returns this
+     * object.
+     */
+    ExperimentCounts markProcessEnded() {
+        crashes += splitting ? 1 : 0;
         splitting = false;
         return this;
     }
 
-    /** Processes that died while they were splitting. */
-    public long deaths() {
-        return deaths;
+    /** Returns the number of processes that crashed while splitting callers. */
+    public long crashes() {
+        return crashes;
     }
 
-    /** How long callers were split by the process, and those before it. */
+    /** Returns how long this process and the earlier processes of the backend have split callers. */
     public Duration splitTime() {
         return Duration.ofMillis(splitMs);
     }
 
-    /** All requests of an arm. */
+    /** Returns the totals of all requests of an arm. */
     public ArmTotals totals(int arm) {
         return totals[arm].snapshot();
     }
 
-    /** What the test needs of an arm. */
+    /** Returns the sums over the buckets of an arm for the statistical test. */
     RunningMoments moments(int arm) {
         RunningMoments moments = new RunningMoments();
         for (int bucket = 0; bucket < BucketAssignment.BUCKET_COUNT; bucket++) {
             if (assignment.armOfBucket(bucket) == arm && requests[bucket] > 0) {
-                // A success whose request was counted at a backend with lost counts must not make a share over 1.
+                // Limits the shares to 1: if another backend lost its counts, a success can be counted without its
+                // request.
                 moments.update(
                         BucketSums.EMPTY,
                         new BucketSums(
@@ -287,15 +293,15 @@
         return moments;
     }
 
-    // ---- bytes
+    // ---- encoding
 
-    /** The counts as an entry of the replicated store. */
+    /** Encodes the counts as an entry of the replicated store. */
     public byte[] encode() {
         VarInts out = new VarInts();
         out.put(FORMAT);
         out.put(experiment.digest() >>> 1);
         out.put(splitting ? 1 : 0);
-        out.put(deaths);
+        out.put(crashes);
         out.put(splitMs);
         for (MutableArmTotals arm : totals) {
             arm.encodeTo(out);
@@ -313,7 +319,7 @@
         return out.toByteArray();
     }
 
-    /** The counts in an entry; nothing if they are of another experiment or format, or corrupt. */
+    /** Decodes an entry; returns empty if the entry is corrupt or has a different experiment or format. */
     public static Optional<ExperimentCounts> decode(Experiment experiment, byte[] bytes) {
         ExperimentCounts counts = new ExperimentCounts(experiment);
         VarInts in = new VarInts(bytes);
@@ -325,13 +331,13 @@
         } catch (IllegalArgumentException e) {
             return Optional.empty();
         }
-        // Anything but the one encoding of these counts was not written by this class.
+        // The encoding is canonical: any other bytes with the same content are corrupt.
         return in.isAtEnd() && Arrays.equals(bytes, counts.encode()) ? Optional.of(counts) : Optional.empty();
     }
 
     private void decodeContent(VarInts in) {
         splitting = in.next(1) == 1;
-        deaths = in.next(MAX_DEATHS);
+        crashes = in.next(MAX_CRASHES);
         splitMs = in.next(MAX_COUNT);
         for (MutableArmTotals arm : totals) {
             arm.decode(in);
@@ -342,7 +348,7 @@
                 requests[bucket] = requestsPlusOne - 1;
                 served[bucket] = in.next(MAX_COUNT);
                 value[bucket] = in.next(MAX_COUNT * VALUE_SCALE);
-                testedRequests += requests[bucket];
+                requestsInTest += requests[bucket];
             }
         }
         sample.merge(DistinctSample.decode(in, experiment.arms().size()));
--- a/src/main/java/merlinlever/fleet/experiments/ExperimentNode.java
+++ b/src/main/java/merlinlever/fleet/experiments/ExperimentNode.java
@@ -12,15 +12,16 @@
 import merlinlever.fleet.view.GuardedAction;
 
 /**
- * One backend's part in one experiment: splits callers while it holds a lease ({@link SplitLease}), counts, publishes its counts, and, where
- * it leads and is permitted to decide, ends the experiment. The result is what the experiment's register holds once it is written: before
- * that nobody acts on it, and after that nobody who knows it splits callers. Event loop only.
+ * Runs one experiment at one backend: splits callers among the arms while the backend holds a lease
+ * ({@link SplitLease}), counts and publishes the results of requests, and ends the experiment if the backend is the
+ * leader and is permitted to decide. The result takes effect only once the experiment's register holds it; a backend
+ * that knows the result no longer splits callers. Used on the event loop only.
  */
 public final class ExperimentNode implements ArmSelector {
 
     /**
-     * A tick that comes later than this counts no longer: the process was paused, or its clock was moved, and callers were not split for so
-     * long.
+     * Maximum time since the previous tick that counts as split time; after a longer gap the process was paused or its
+     * clock was moved, and callers were not split during the gap.
      */
     private static final Duration MAX_TICK_GAP = Duration.ofSeconds(1);
 
@@ -37,17 +38,17 @@
     private final EventLog log;
     private final SplitLease lease;
     private final ExperimentCounts ownCounts;
-    /** Whether the counts of this backend's earlier processes are part of its own. */
+    /** Whether the counts of this backend's earlier processes have been added to the own counts. */
     private boolean restored;
 
     private boolean splitting;
     private Duration lastTick;
     private Duration nextPublication = Duration.ZERO;
     private Optional<ExperimentResult> result = Optional.empty();
-    /** What this leader proposes. */
-    private Optional<ExperimentResult> proposed = Optional.empty();
+    /** The result that this backend proposes as the leader. */
+    private Optional<ExperimentResult> proposedResult = Optional.empty();
 
-    /** @param log receives a line for each event that an operator may need */
+    /** @param log receives one line for each event that matters to an operator */
     public ExperimentNode(
             Duration now,
             String self,
@@ -71,7 +72,7 @@
         lastTick = now;
     }
 
-    /** Is called every few hundred milliseconds. */
+    /** Advances the experiment; called every few hundred milliseconds. */
     public void tick(Duration now) {
         adoptResult(now);
         if (result.isPresent()) {
@@ -82,7 +83,7 @@
             ownCounts.addSplitTime(gap.compareTo(MAX_TICK_GAP) > 0 ? MAX_TICK_GAP : gap);
         }
         lastTick = now;
-        if (mayServe(now)) {
+        if (mayAssignToArms(now)) {
             restoreCounts();
             if (isPermitted(now, GuardedAction.ADOPT_WIDENING)) {
                 lease.request(now);
@@ -100,7 +101,7 @@
         return view.permission(now, action) == ActionPermissions.Permission.ALLOWED;
     }
 
-    private boolean mayServe(Duration now) {
+    private boolean mayAssignToArms(Duration now) {
         return view.permission(now, GuardedAction.USE_ADOPTED) != ActionPermissions.Permission.DENIED;
     }
 
@@ -113,17 +114,20 @@
             return;
         }
         result = ExperimentResult.decode(experiment, registers.chosen(experiment.key()));
-        result.ifPresent(adopted -> {
+        result.ifPresent(adoptedResult -> {
             splitting = false;
-            log.line("experiment-ended experiment=" + experiment.name() + " kind=" + adopted.kind() + " arm="
-                    + experiment.arms().get(adopted.arm()).name() + " reason=\"" + adopted.reason() + "\"");
+            log.line("experiment-ended experiment=" + experiment.name() + " kind=" + adoptedResult.kind() + " arm="
+                    + experiment.arms().get(adoptedResult.arm()).name() + " reason=\"" + adoptedResult.reason() + "\"");
             if (restored) {
                 publishCounts(now, false);
             }
         });
     }
 
-    /** Starts with what earlier processes of this backend published; once this one knows that, and before it publishes itself. */
+    /**
+     * Adds the counts published by earlier processes of this backend, once and before the first publication by this
+     * process.
+     */
     private void restoreCounts() {
         if (restored) {
             return;
@@ -131,20 +135,20 @@
         restored = true;
         store.get(self, experiment.topic())
                 .flatMap(entry -> ExperimentCounts.decode(experiment, entry.value()))
-                .map(ExperimentCounts::ofEndedProcess)
+                .map(ExperimentCounts::markProcessEnded)
                 .ifPresent(earlier -> {
                     ownCounts.add(earlier);
                     ownCounts.addSplitTime(earlier.splitTime());
                 });
     }
 
-    private void publishCounts(Duration now, boolean stillSplitting) {
+    private void publishCounts(Duration now, boolean isStillSplitting) {
         nextPublication = now.plus(experiment.leaseDuration().dividedBy(PUBLICATIONS_PER_LEASE));
-        ownCounts.setSplitting(stillSplitting);
+        ownCounts.setSplitting(isStillSplitting);
         store.put(now, experiment.topic(), ownCounts.encode());
     }
 
-    /** Is called at a shutdown, which is no death then. */
+    /** Publishes the counts at a shutdown, so that the end of the process does not count as a crash. */
     public void shutDown(Duration now) {
         splitting = false;
         if (restored) {
@@ -156,22 +160,22 @@
 
     private void decide(Duration now) {
         if (!leadership.isLeader(now) || !isPermitted(now, GuardedAction.DECIDE)) {
-            // The next leader decides by what it knows then.
-            proposed = Optional.empty();
+            // The next leader decides by the counts that it has at that time.
+            proposedResult = Optional.empty();
             return;
         }
-        if (proposed.isEmpty()) {
+        if (proposedResult.isEmpty()) {
             StoppingDecision decision = analysis.evaluate(fleetCounts(), longestSplitTime());
             if (decision.isFinal()) {
-                proposed = Optional.of(new ExperimentResult(decision.kind(), decision.arm(), decision.reason()));
+                proposedResult = Optional.of(new ExperimentResult(decision.kind(), decision.arm(), decision.reason()));
             } else {
                 lease.grant(now, leadership.term());
             }
         }
-        proposed.ifPresent(toPropose -> registers.propose(now, experiment.key(), toPropose.encode()));
+        proposedResult.ifPresent(ownResult -> registers.propose(now, experiment.key(), ownResult.encode()));
     }
 
-    /** The sum of all known counts of this very experiment. */
+    /** Returns the sum of all known counts of the experiment with this configuration. */
     ExperimentCounts fleetCounts() {
         ExperimentCounts sum = new ExperimentCounts(experiment);
         for (VersionedEntry entry : store.entries(experiment.topic())) {
@@ -198,10 +202,10 @@
     // ---- requests
 
     private boolean maySplit(Duration now) {
-        return result.isEmpty() && restored && lease.isHeld(now) && mayServe(now);
+        return result.isEmpty() && restored && lease.isHeld(now) && mayAssignToArms(now);
     }
 
-    /** The arm that a request of the caller belongs to now. */
+    /** Returns the arm to which a request of the caller belongs now. */
     public int arm(Duration now, String caller) {
         splitting = splitting && maySplit(now);
         if (result.isPresent()) {
@@ -215,7 +219,7 @@
         return arm(lastTick, caller);
     }
 
-    /** Counts an arriving request, if callers are split; see {@link ExperimentCounts#requestArrived}. */
+    /** Counts an arriving request if callers are split; see {@link ExperimentCounts#requestArrived}. */
     public Optional<ExperimentCounts.CountedRequest> requestArrived(
             Duration now, String caller, Optional<String> requestKey, boolean retry) {
         splitting = splitting && maySplit(now);
@@ -230,17 +234,17 @@
         }
     }
 
-    /** The result, once this backend knows that it is written. */
+    /** Returns the result, if this backend knows that the register holds one. */
     public Optional<ExperimentResult> result() {
         return result;
     }
 
-    /** Whether this backend is splitting callers. */
+    /** Returns whether this backend is splitting callers. */
     public boolean isSplitting() {
         return splitting;
     }
 
-    /** The experiment that this is a part of. */
+    /** Returns the configuration of the experiment. */
     public Experiment experiment() {
         return experiment;
     }
--- a/src/main/java/merlinlever/fleet/experiments/ExperimentResult.java
+++ b/src/main/java/merlinlever/fleet/experiments/ExperimentResult.java
@@ -4,10 +4,10 @@
 import java.util.Optional;
 
 /**
- * How an experiment ended, as its write-once register holds it for the whole fleet.
+ * The result of an experiment, stored in a write-once register for the whole fleet.
  *
- * @param arm that all callers get from then on
- * @param reason for people, in one line
+ * @param arm the arm that applies to all callers after the end of the experiment
+ * @param reason human-readable reason in one line
  */
 public record ExperimentResult(StoppingDecision.Kind kind, int arm, String reason) {
 
@@ -28,21 +28,23 @@
     }
 
     /**
-     * The result in a register. Whatever the register holds ends the experiment: what a later version of the program wrote in another format
-     * runs the safe arm.
+     * Decodes the result in a register. Any content of the register ends the experiment: content in the unknown format
+     * of a later version of the program selects the safe arm.
      */
     static ExperimentResult decode(Experiment experiment, byte[] bytes) {
         try {
             return decodeKnownFormat(experiment, new VarInts(bytes));
         } catch (IllegalArgumentException e) {
             return new ExperimentResult(
-                    StoppingDecision.Kind.INVALID, experiment.safeArm(), "the register holds what is not understood");
+                    StoppingDecision.Kind.INVALID,
+                    experiment.safeArm(),
+                    "the register holds a result in an unknown format");
         }
     }
 
     private static ExperimentResult decodeKnownFormat(Experiment experiment, VarInts in) {
         if (in.next(FORMAT) != FORMAT) {
-            throw new IllegalArgumentException("format");
+            throw new IllegalArgumentException("unknown format");
         }
         StoppingDecision.Kind kind = KINDS[(int) in.next(KINDS.length - 1)];
         int arm = (int) in.next(experiment.arms().size() - 1);
--- a/src/main/java/merlinlever/fleet/experiments/RunningMoments.java
+++ b/src/main/java/merlinlever/fleet/experiments/RunningMoments.java
@@ -1,17 +1,20 @@
 package merlinlever.fleet.experiments;
 
-/** Sums over the buckets of one arm, of requests, served requests and value; updated as single buckets change. */
+/**
+ * Sums of requests, served requests and values over the buckets of one arm, updated incrementally when a bucket
+ * changes.
+ */
 final class RunningMoments {
 
-    /** What is compared between arms. */
+    /** The measure by which arms are compared. */
     enum Measure {
-        /** The share of requests that were served in time. */
+        /** Share of requests that were served in time. */
         SERVED_SHARE,
-        /** The mean value of a request, as a part of the highest one. */
+        /** Mean value of a request as a fraction of the maximum value. */
         MEAN_VALUE
     }
 
-    /** What a bucket holds; the value is a part of the highest one. */
+    /** The sums of one bucket; the value is a fraction of the maximum value. */
     record BucketSums(double requests, double served, double value) {
         static final BucketSums EMPTY = new BucketSums(0, 0, 0);
     }
@@ -27,7 +30,7 @@
     private double requestsTimesValue;
     private double meanSquareValue;
 
-    /** Buckets that hold any request. */
+    /** Returns the number of buckets with at least one request. */
     int buckets() {
         return buckets;
     }
@@ -44,7 +47,7 @@
         return measure == Measure.MEAN_VALUE ? value : served;
     }
 
-    /** The mean square of the values of single requests. */
+    /** Returns the mean square of the values of single requests. */
     double meanSquareValue() {
         return meanSquareValue;
     }
@@ -53,7 +56,7 @@
         meanSquareValue = meanSquare;
     }
 
-    /** The sums of one bucket have changed. */
+    /** Replaces the sums of one bucket. */
     void update(BucketSums before, BucketSums after) {
         buckets += (after.requests > 0 ? 1 : 0) - (before.requests > 0 ? 1 : 0);
         requests += after.requests - before.requests;
@@ -71,8 +74,9 @@
     }
 
     /**
-     * The variance of the mean, from how far the buckets lie apart: that of a ratio of sums over independent groups (W. Cochran, Sampling
-     * Techniques, 1977, 6.3), so that callers of many requests, or of failing ones only, don't count for more than one group.
+     * Estimates the variance of the mean from the differences between buckets, as the variance of a ratio of sums over
+     * independent groups (W. Cochran, Sampling Techniques, 1977, 6.3). A caller with many requests, or only failing
+     * ones, therefore counts as part of a single group.
      */
     double variance(Measure measure) {
         double mean = mean(measure);
--- a/src/main/java/merlinlever/fleet/experiments/SequentialAnalysis.java
+++ b/src/main/java/merlinlever/fleet/experiments/SequentialAnalysis.java
@@ -7,39 +7,41 @@
 import merlinlever.fleet.experiments.RunningMoments.Measure;
 
 /**
- * Decides when an experiment is over, by a test that may be evaluated after every request: confidence sequences for the differences between
- * arms, which hold at all times at once, from a normal mixture of the likelihood ratio (A. Wald, 1945; H. Robbins, 1970; R. Johari et al.,
- * Always Valid Inference, 2017; S. Howard et al., Time-Uniform Confidence Sequences, 2021), with a variance that is estimated from the
- * buckets of callers (I. Waudby-Smith et al., Time-Uniform Central Limit Theory, 2021).
+ * Decides when an experiment ends, by a sequential test that may be evaluated after every request. The test uses
+ * confidence sequences for the differences between arms, which hold simultaneously at all times, from a normal mixture
+ * of the likelihood ratio (A. Wald, 1945; H. Robbins, 1970; R. Johari et al., Always Valid Inference, 2017; S. Howard
+ * et al., Time-Uniform Confidence Sequences, 2021), with a variance estimated from the buckets of callers (I.
+ * Waudby-Smith et al., Time-Uniform Central Limit Theory, 2021).
  *
- * <p>Three things widen the intervals while few requests are counted: the variance is never under that of as many independent requests with
- * the pooled mean; Student's distribution replaces the normal one, by the number of buckets; and there is a term for bounded summands, as
- * in Bernstein's inequality. The level is divided among the pairs of arms and the two measures.
+ * <p>Three corrections widen the intervals while the counts are low: the variance is at least the variance of the same
+ * number of independent requests with the pooled mean; Student's distribution, with degrees of freedom from the number
+ * of buckets, replaces the normal distribution; and a term for bounded summands is added, as in Bernstein's inequality.
+ * The significance level is divided among the pairs of arms and the two measures.
  */
 public final class SequentialAnalysis {
 
-    /** Nothing is concluded about an arm with fewer requests. */
+    /** Minimum number of requests of each arm for a conclusion. */
     static final int MIN_REQUESTS = 200;
-    /** Nothing is concluded about an arm with fewer buckets that hold requests. */
+    /** Minimum number of non-empty buckets of each arm for a conclusion. */
     static final int MIN_BUCKETS = 8;
-    /** The smallest difference that the intervals are tuned for. */
+    /** Smallest difference for which the intervals are tuned. */
     private static final double MIN_TUNED_DIFFERENCE = 0.005;
-    /** Each mixture is tuned for a difference so many times that of the one before. */
+    /** Ratio of the differences for which two successive mixtures are tuned. */
     private static final double MIXTURE_RATIO = 4;
 
     private static final int MIXTURES = 3;
-    /** Keeps exp from overflowing; the interval is useless at this width anyway. */
+    /** Prevents an overflow of exp; an interval of this width is inconclusive in any case. */
     private static final double MAX_EXPONENT = 50;
 
     private static final Measure[] MEASURES = Measure.values();
 
-    /** How much better one arm is than another, at all times with the probability of the level. */
+    /** Confidence interval for the lead of one arm over another, valid simultaneously at all times. */
     public record ConfidenceInterval(double low, double high) {}
 
-    /** How much better one arm was than another, and what the width of its interval depends on. */
+    /** Estimated lead of one arm over another, with the parameters of the width of its confidence interval. */
     private record EstimatedDifference(double difference, double variance, double degreesOfFreedom, double requests) {}
 
-    /** Of one arm and measure: how far it is ahead of all others at least, and at most of the one it is least ahead of. */
+    /** The smallest lower bound and the smallest upper bound of an arm's leads over all other arms, by one measure. */
     private static final class ArmBounds {
         private double low = 1;
         private double high = 1;
@@ -49,7 +51,7 @@
             high = Math.min(high, newHigh);
         }
 
-        void includeNothingKnown() {
+        void includeUnknownDifference() {
             low = -1;
         }
     }
@@ -67,9 +69,8 @@
         int arms = experiment.arms().size();
         shares = new double[arms];
         Arrays.setAll(shares, assignment::share);
-        // Each mixture is tightest where a difference of its own size is about to be detected: twice the smallest one
-        // that
-        // matters, and coarser ones.
+        // Each mixture is tightest for the detection of a difference of one size: the first mixture for twice the
+        // configured minimum, the others for larger differences.
         for (int i = 0; i < MIXTURES; i++) {
             double size = 2 * Math.max(MIN_TUNED_DIFFERENCE, experiment.minDifference()) * Math.pow(MIXTURE_RATIO, i);
             mixtureInformation[i] = 1.5 / (size * size);
@@ -81,15 +82,15 @@
     /**
      * Evaluates the experiment.
      *
-     * @param splitTime how long callers have been split
+     * @param splitTime time for which callers have been split among the arms
      */
     public StoppingDecision evaluate(ExperimentCounts counts, Duration splitTime) {
         long[] callers = counts.sample.callersByArm(shares.length);
         if (SampleRatioCheck.isMismatch(callers, shares, counts.sample.level())) {
             return withSafeArm(StoppingDecision.Kind.INVALID, describeMismatch(callers));
         }
-        if (counts.deaths() >= experiment.maxDeaths()) {
-            return withSafeArm(StoppingDecision.Kind.HARM, counts.deaths() + " backends died while they split");
+        if (counts.crashes() >= experiment.maxCrashes()) {
+            return withSafeArm(StoppingDecision.Kind.HARM, counts.crashes() + " backends died while they split");
         }
         RunningMoments[] arms = new RunningMoments[shares.length];
         Arrays.setAll(arms, counts::moments);
@@ -114,7 +115,7 @@
         return reason.toString();
     }
 
-    /** The most certain harm of any arm compared with the safe one. */
+    /** The largest lower bound of the safe arm's lead over another arm. */
     private static final class WorstHarm {
         private double lead;
         private Optional<Integer> arm = Optional.empty();
@@ -127,7 +128,7 @@
         }
     }
 
-    /** What the counts alone say. */
+    /** Evaluates the counts without the time limit and without the checks for sample ratio mismatch and crashes. */
     StoppingDecision test(RunningMoments... arms) {
         for (RunningMoments arm : arms) {
             if (arm.requests() < MIN_REQUESTS || arm.buckets() < MIN_BUCKETS) {
@@ -135,8 +136,8 @@
             }
         }
         ArmBounds[][] bounds = new ArmBounds[arms.length][MEASURES.length];
-        for (ArmBounds[] ofArm : bounds) {
-            Arrays.setAll(ofArm, measure -> new ArmBounds());
+        for (ArmBounds[] armBounds : bounds) {
+            Arrays.setAll(armBounds, measure -> new ArmBounds());
         }
         WorstHarm worstHarm = new WorstHarm();
         for (int i = 0; i < arms.length; i++) {
@@ -159,15 +160,15 @@
                 : withSafeArm(StoppingDecision.Kind.CONTINUE, "nothing is shown yet");
     }
 
-    /** Includes the difference of a pair of arms in the bounds of both. */
+    /** Includes the difference of a pair of arms in the bounds of both arms. */
     private void compare(RunningMoments[] arms, int i, int k, ArmBounds[][] bounds, WorstHarm worstHarm) {
         for (Measure measure : MEASURES) {
             ArmBounds boundsOfFirst = bounds[i][measure.ordinal()];
             ArmBounds boundsOfSecond = bounds[k][measure.ordinal()];
             EstimatedDifference estimate = estimate(arms[i], arms[k], measure);
             if (isInconclusive(estimate)) {
-                boundsOfFirst.includeNothingKnown();
-                boundsOfSecond.includeNothingKnown();
+                boundsOfFirst.includeUnknownDifference();
+                boundsOfSecond.includeUnknownDifference();
                 continue;
             }
             double difference = estimate.difference;
@@ -182,13 +183,16 @@
         }
     }
 
-    /** The arm that is certainly better than all others by one measure, and by the other not certainly worse than any. */
+    /**
+     * Returns the arm that is significantly better than all others by one measure and not significantly worse than any
+     * by the other.
+     */
     private Optional<StoppingDecision> winner(ArmBounds[][] bounds) {
         for (int arm = 0; arm < bounds.length; arm++) {
             for (Measure measure : MEASURES) {
                 double low = bounds[arm][measure.ordinal()].low;
-                double highOfOther = bounds[arm][1 - measure.ordinal()].high;
-                if (low > experiment.minDifference() && highOfOther >= 0) {
+                double highByOtherMeasure = bounds[arm][1 - measure.ordinal()].high;
+                if (low > experiment.minDifference() && highByOtherMeasure >= 0) {
                     String reason = experiment.arms().get(arm).name() + " is better by more than " + format(low)
                             + (measure == Measure.SERVED_SHARE ? " of the operations asked" : " of the highest value");
                     return Optional.of(new StoppingDecision(StoppingDecision.Kind.WINNER, arm, reason));
@@ -198,12 +202,15 @@
         return Optional.empty();
     }
 
-    /** Whether no arm can be better than all others by a difference that matters. */
+    /** Returns whether the bounds exclude that any arm leads all others by the configured minimum difference. */
     private boolean isFutile(ArmBounds[][] bounds) {
         return Arrays.stream(bounds).flatMap(Arrays::stream).allMatch(bound -> bound.high < experiment.minDifference());
     }
 
-    /** Whether the interval, at either level, contains both zero and the smallest difference for certain; most evaluations end here. */
+    /**
+     * Returns whether the interval surely contains zero and the minimum difference at both levels, which saves
+     * computing it.
+     */
     private boolean isInconclusive(EstimatedDifference estimate) {
         double minSquare = estimate.variance * 2 * Math.log(1 / Math.max(winnerLevel, harmLevel));
         return estimate.difference * estimate.difference < minSquare
@@ -215,9 +222,10 @@
     }
 
     /**
-     * How much better the first arm is than the second, at all times with the given probability of being outside. Divided between the two by
-     * their standard errors, these are intervals for each arm of which the first one's lower end is over the second one's upper end just
-     * where the lower end here is over zero (H. Goldstein, M. Healy, 1995).
+     * Returns the confidence interval for the lead of the first arm over the second. The probability that the true lead
+     * is ever outside of the interval is at most the level. If the interval is divided between the arms in proportion
+     * to their standard errors, the two resulting intervals are disjoint, with the first one higher, exactly if the
+     * lower end of this interval is above zero (H. Goldstein, M. Healy, 1995).
      */
     ConfidenceInterval interval(RunningMoments first, RunningMoments second, Measure measure, double level) {
         EstimatedDifference estimate = estimate(first, second, measure);
@@ -240,7 +248,7 @@
         double varianceOfFirst = Math.max(first.variance(measure), requestVariance / first.requests());
         double varianceOfSecond = Math.max(second.variance(measure), requestVariance / second.requests());
         double variance = varianceOfFirst + varianceOfSecond;
-        // B. Welch's approximation (1947).
+        // Approximation by B. Welch (1947).
         double degreesOfFreedom = variance
                 * variance
                 / (varianceOfFirst * varianceOfFirst / (first.buckets() - 1)
@@ -253,8 +261,8 @@
     }
 
     /**
-     * Half the width of the interval: of the normal mixtures at the information 1/variance the narrowest, each with its part of the level;
-     * Student's distribution by D. Wallace's approximation (1959).
+     * Returns half the width of the narrowest interval among the normal mixtures at the information 1/variance, each
+     * with an equal part of the level. Student's distribution is approximated as by D. Wallace (1959).
      */
     private double radius(EstimatedDifference estimate, double level) {
         double information = 1 / estimate.variance;
--- a/src/main/java/merlinlever/fleet/experiments/SimulatedExperiments.java
+++ b/src/main/java/merlinlever/fleet/experiments/SimulatedExperiments.java
@@ -5,20 +5,20 @@
 import merlinlever.fleet.experiments.RunningMoments.BucketSums;
 
 /**
- * Simulates experiments of two arms, evaluated after every request: how often and when the test stops, compared with a test of fixed size
- * that is evaluated as often. For measurements and tests.
+ * Simulates experiments with two arms that are evaluated after every request, and compares the sequential test with a
+ * fixed-sample test that is evaluated equally often. Used by measurements and tests.
  */
 public final class SimulatedExperiments {
 
     /**
-     * The callers of a simulation.
+     * The traffic of a simulation.
      *
-     * @param firstShare of the first arm's requests that are served
-     * @param secondShare of the second arm's requests that are served
-     * @param callers of each arm; 0 if each request has a caller of its own
-     * @param spread how far the callers of an arm differ in the share that is served
-     * @param heavyCallerShare of the traffic that a single caller has
-     * @param maxRequests in both arms together
+     * @param firstShare share of the first arm's requests that are served
+     * @param secondShare share of the second arm's requests that are served
+     * @param callers number of callers in each arm; 0 if each request has a separate caller
+     * @param spread maximum deviation of a caller's served share from the served share of the arm
+     * @param heavyCallerShare share of the traffic that a single caller sends
+     * @param maxRequests maximum number of requests in both arms together
      */
     public record SimulationSettings(
             double firstShare,
@@ -31,18 +31,20 @@
     /**
      * The result of a simulation.
      *
-     * @param requests until it ended, in both arms together
-     * @param fixedTestWinnerAt request after which a fixed test at 0.05, evaluated after each, first found a winner; 0 if never
-     * @param requestsOfSecondArm until it ended
+     * @param requests number of requests until the end of the experiment, in both arms together
+     * @param fixedTestWinnerAt number of requests after which the fixed-sample test at 0.05 first found a winner; 0 if
+     *     never
+     * @param requestsOfSecondArm number of requests in the second arm until the end of the experiment
      */
     public record SimulationResult(
             StoppingDecision decision, int requests, int fixedTestWinnerAt, int requestsOfSecondArm) {}
 
     private static final int ARMS = 2;
     private static final int BUCKETS_PER_ARM = BucketAssignment.BUCKET_COUNT / ARMS;
-    /** The fixed test: requests of each arm at least, and the two-sided critical value at 0.05. */
+    /** Minimum number of requests of each arm for the fixed-sample test. */
     private static final int FIXED_TEST_MIN_REQUESTS = 100;
 
+    /** Two-sided critical value at 0.05. */
     private static final double FIXED_TEST_CRITICAL_VALUE = 1.959964;
 
     private final SplittableRandom random;
@@ -54,7 +56,7 @@
     private final double[][] callerDeviation;
     private final int[][] callerBucket;
     private final int heavyCallerArm;
-    /** Of the fixed test. */
+    /** Requests of each arm for the fixed-sample test. */
     private final int[] requests = new int[ARMS];
 
     private final int[] served = new int[ARMS];
@@ -99,13 +101,13 @@
     }
 
     private void simulateRequest(int request) {
-        boolean heavy = settings.heavyCallerShare > 0 && random.nextDouble() < settings.heavyCallerShare;
-        int arm = heavy ? heavyCallerArm : random.nextInt(ARMS);
-        boolean ownCaller = settings.callers == 0;
-        int caller = heavy || ownCaller ? 0 : random.nextInt(settings.callers);
-        int bucket = ownCaller ? random.nextInt(BUCKETS_PER_ARM) : callerBucket[arm][caller];
+        boolean isHeavyCaller = settings.heavyCallerShare > 0 && random.nextDouble() < settings.heavyCallerShare;
+        int arm = isHeavyCaller ? heavyCallerArm : random.nextInt(ARMS);
+        boolean hasSeparateCaller = settings.callers == 0;
+        int caller = isHeavyCaller || hasSeparateCaller ? 0 : random.nextInt(settings.callers);
+        int bucket = hasSeparateCaller ? random.nextInt(BUCKETS_PER_ARM) : callerBucket[arm][caller];
         double probability = (arm == 0 ? settings.firstShare : settings.secondShare)
-                + (ownCaller ? 0 : callerDeviation[arm][caller]);
+                + (hasSeparateCaller ? 0 : callerDeviation[arm][caller]);
         boolean isServed = random.nextDouble() < probability;
         requests[arm]++;
         served[arm] += isServed ? 1 : 0;
@@ -124,7 +126,7 @@
     }
 
     private void count(int arm, int bucket, boolean isServed) {
-        // As ExperimentCounts has it, but for the rounding.
+        // The same limit as in ExperimentCounts, except for the rounding.
         long total = (long) (moments[0].requests() + moments[1].requests());
         long maxBucketRequests = ExperimentCounts.MIN_BUCKET_REQUESTS
                 + ExperimentCounts.MAX_OVER_MEAN * total / BucketAssignment.BUCKET_COUNT;
@@ -135,7 +137,7 @@
         bucketRequests[arm][bucket]++;
         bucketServed[arm][bucket] += isServed ? 1 : 0;
         moments[arm].update(before, bucketSums(arm, bucket));
-        // Each served request has the highest value.
+        // Each served request has the maximum value.
         moments[arm].setMeanSquareValue(moments[arm].served() / moments[arm].requests());
     }
 
@@ -148,10 +150,10 @@
                 && Math.abs(zScore()) >= FIXED_TEST_CRITICAL_VALUE;
     }
 
-    /** Of the difference of two proportions, with the pooled variance. */
+    /** Returns the z-score of the difference of two proportions, with the pooled variance. */
     private double zScore() {
-        double pooled = (double) (served[0] + served[1]) / (requests[0] + requests[1]);
+        double pooledShare = (double) (served[0] + served[1]) / (requests[0] + requests[1]);
         return ((double) served[0] / requests[0] - (double) served[1] / requests[1])
-                / Math.sqrt(pooled * (1 - pooled) * (1.0 / requests[0] + 1.0 / requests[1]));
+                / Math.sqrt(pooledShare * (1 - pooledShare) * (1.0 / requests[0] + 1.0 / requests[1]));
     }
 }
--- a/src/main/java/merlinlever/fleet/experiments/SplitLease.java
+++ b/src/main/java/merlinlever/fleet/experiments/SplitLease.java
@@ -9,16 +9,17 @@
 import merlinlever.fleet.replication.VersionedEntry;
 
 /**
- * For how long a backend may split callers. It requests a lease by an entry of its own in the replicated store; a leader that has not ended
- * the experiment answers with the versions of the requests it has received, and a lease runs from its request, by the requester's
- * steady clock (C. Gray, D. Cheriton, Leases, 1989). A leader that has a result to write grants no more. So a backend that was cut off
- * splits again only by a grant that was given before anybody had ended the experiment, or not at all.
+ * A lease that permits a backend to split callers. The backend requests the lease with an entry in the replicated
+ * store. A leader that has not decided the experiment grants the lease by publishing the versions of the requests that
+ * it has received. The lease starts with the request, by the monotonic clock of the requesting backend (C. Gray, D.
+ * Cheriton, Leases, 1989). A leader with a result to write grants no more leases, so a backend that was partitioned
+ * resumes splitting only by a grant issued before the experiment was decided.
  */
 final class SplitLease {
 
-    /** Requests that may still be granted. */
+    /** Maximum number of own requests that are kept for a later grant. */
     private static final int MAX_PENDING = 64;
-    /** Requests that are granted at a time. */
+    /** Maximum number of requests in one grant. */
     private static final int MAX_GRANTED = 250;
 
     private static final int RENEWALS_PER_LEASE = 8;
@@ -61,7 +62,7 @@
         return expiry;
     }
 
-    /** Requests a lease if the next request is due. */
+    /** Requests a lease if a renewal is due. */
     void request(Duration now) {
         if (now.compareTo(nextRequest) < 0) {
             return;
@@ -77,7 +78,10 @@
         }
     }
 
-    /** As the leader of a term, grants all requests for this very experiment if the next grant is due. */
+    /**
+     * Grants, as the leader of a term, all requests for the experiment with this configuration if the next grant is
+     * due.
+     */
     void grant(Duration now, long term) {
         if (now.compareTo(nextGrant) < 0) {
             return;
@@ -100,7 +104,7 @@
         return new String(entry.value(), StandardCharsets.US_ASCII);
     }
 
-    /** Takes over what the leader has granted. */
+    /** Extends the lease by a new grant of the leader, if there is one. */
     void readGrants(Leadership.Leader leader) {
         Optional<String> grants = store.get(leader.name(), grantTopic()).map(SplitLease::text);
         if (grants.isEmpty() || grants.get().equals(lastGrants)) {
@@ -115,15 +119,15 @@
             highestTerm = Long.parseLong(parts[1]);
             for (int i = 2; i + 2 < parts.length; i += 3) {
                 if (parts[i].equals(self)) {
-                    granted(Long.parseLong(parts[i + 1]), Long.parseLong(parts[i + 2]));
+                    extendLease(Long.parseLong(parts[i + 1]), Long.parseLong(parts[i + 2]));
                 }
             }
         } catch (NumberFormatException | IndexOutOfBoundsException e) {
-            // Not what a leader writes: no grant.
+            // The entry is not in the format of a grant and is ignored.
         }
     }
 
-    private void granted(long incarnation, long sequence) {
+    private void extendLease(long incarnation, long sequence) {
         for (PendingLeaseRequest request : pending) {
             Duration requestExpiry = request.at.plus(experiment.leaseDuration());
             if (request.incarnation == incarnation
--- a/src/main/java/merlinlever/fleet/experiments/VarInts.java
+++ b/src/main/java/merlinlever/fleet/experiments/VarInts.java
@@ -2,7 +2,7 @@
 
 import java.io.ByteArrayOutputStream;
 
-/** Writes or reads non-negative integers of variable length: seven bits a byte, the lowest first. */
+/** Writes or reads non-negative integers of variable length: seven bits per byte, least significant group first. */
 final class VarInts {
 
     private final ByteArrayOutputStream out = new ByteArrayOutputStream();
@@ -31,33 +31,33 @@
     /**
      * Reads the next number.
      *
-     * @throws IllegalArgumentException if it is higher than the maximum, or the bytes end
+     * @throws IllegalArgumentException if the number exceeds the maximum or the input ends
      */
     long next(long max) {
         long number = 0;
         for (int shift = 0; shift < 63; shift += 7) {
             if (position >= in.length) {
-                throw new IllegalArgumentException("bytes are missing");
+                throw new IllegalArgumentException("input ends within a number");
             }
             byte next = in[position];
             position++;
             number |= (long) (next & 0x7f) << shift;
             if (next >= 0) {
                 if (number < 0 || number > max) {
-                    throw new IllegalArgumentException("over its maximum: " + number);
+                    throw new IllegalArgumentException("number exceeds its maximum: " + number);
                 }
                 return number;
             }
         }
-        throw new IllegalArgumentException("too long");
+        throw new IllegalArgumentException("number has too many bytes");
     }
 
-    /** Whether all bytes are read. */
+    /** Returns whether all bytes have been read. */
     boolean isAtEnd() {
         return position == in.length;
     }
 
-    /** All that was written. */
+    /** Returns the bytes written so far. */
     byte[] toByteArray() {
         return out.toByteArray();
     }
--- a/src/test/java/merlinlever/fleet/experiments/ExperimentBytesTest.java
+++ b/src/test/java/merlinlever/fleet/experiments/ExperimentBytesTest.java
@@ -14,7 +14,7 @@
 import merlinlever.fleet.replication.ReplicatedStore;
 import org.junit.jupiter.api.Test;
 
-/** The bytes of an experiment's identity, counts, result and lease are those of the versions before. */
+/** Guards the stored encodings of an experiment's key, counts, result and lease against incompatible changes. */
 class ExperimentBytesTest {
 
     private final Fixture fixture = new Fixture("trials.txt");
--- a/src/test/java/merlinlever/fleet/experiments/ExperimentConfigReaderTest.java
+++ b/src/test/java/merlinlever/fleet/experiments/ExperimentConfigReaderTest.java
@@ -34,7 +34,7 @@
     }
 
     @Test
-    void validConfigurationIsReadAndOnlyShortensRetryAfter() throws InvalidExperimentException {
+    void readsValidConfigurationWhoseArmOnlyShortensRetryAfter() throws InvalidExperimentException {
         Experiment experiment = read(validConfiguration()).get(0);
         assertEquals(
                 List.of("now", "short"),
@@ -42,34 +42,34 @@
         assertEquals(0, experiment.safeArm());
         assertEquals(Duration.ofSeconds(5), experiment.leaseDuration());
         assertEquals(Optional.of("near"), experiment.arms().get(0).preferredRoute());
-        Experiment.Arm shortened = experiment.arms().get(1);
-        assertEquals(Duration.ofMillis(300), shortened.retryAfter(Duration.ofSeconds(2)));
+        Experiment.Arm shorteningArm = experiment.arms().get(1);
+        assertEquals(Duration.ofMillis(300), shorteningArm.retryAfter(Duration.ofSeconds(2)));
         assertEquals(
                 Duration.ofMillis(100),
-                shortened.retryAfter(Duration.ofMillis(100)),
-                "never longer than the controller says");
-        assertEquals(Duration.ofSeconds(2), shortened.callDuration(Duration.ofSeconds(2)));
+                shorteningArm.retryAfter(Duration.ofMillis(100)),
+                "at most the Retry-After of the controller");
+        assertEquals(Duration.ofSeconds(2), shorteningArm.callDuration(Duration.ofSeconds(2)));
         assertEquals(List.of(), read(Map.of("name", "n1")));
     }
 
     @Test
-    void eachInvalidSettingIsNamedInOneLine() {
+    void reportsEachInvalidSettingInOneLine() {
         String[][] invalid = {
-            {"trials.0.arms.1.value", "3", "order by worth"},
-            {"trials.0.arms.1.rules.drain-grace", "1", "four rules"},
-            {"trials.0.arms.1.max-p", "0.2", "design"},
-            {"trials.0.arms.1.colour", "red", "not known"},
-            {"trials.0.arms.1.route", "far", "no stated route"},
-            {"trials.0.safe", "none", "names the arm"},
+            {"trials.0.arms.1.value", "3", "prioritization by value"},
+            {"trials.0.arms.1.rules.drain-grace", "1", "safety invariants"},
+            {"trials.0.arms.1.max-p", "0.2", "design parameter"},
+            {"trials.0.arms.1.colour", "red", "not a known setting"},
+            {"trials.0.arms.1.route", "far", "not a configured route"},
+            {"trials.0.safe", "none", "must name the arm"},
             {"trials.0.arms.1.weight", "100", "sixteenth"},
             {"trials.0.alpha", "0.9", "from 0.000001 to 0.2"},
-            {"trials.0.harm", "0.01", "looser"},
-            {"trials.0.lease", "soon", "is a span"},
+            {"trials.0.harm", "0.01", "must be at least alpha"},
+            {"trials.0.lease", "soon", "must be a duration"},
             {"trials.0.arms.1.name", "now", "another arm"},
-            {"trials.0.colour", "red", "is not known"},
+            {"trials.0.colour", "red", "is not a known setting"},
             {"trials.0.name", "A B", "a-z"},
             {"trials.0.version", "1.5", "whole number"},
-            {"trials.9.name", "late", "4 at the most"},
+            {"trials.9.name", "late", "at most 4"},
             {"trials.1.name", "advice", "arms"},
             {"trials.0.arms.1.stay-away-longest", "2h", "from 0ms to 60s"},
             {"trials.0.deaths", "0", "from 1"}
@@ -84,7 +84,7 @@
     }
 
     @Test
-    void anyChangeMakesAnotherExperiment() throws InvalidExperimentException {
+    void anyChangeOfAnExperimentChangesItsKey() throws InvalidExperimentException {
         Experiment before = read(validConfiguration()).get(0);
         assertEquals(before.key(), read(validConfiguration()).get(0).key());
         for (String[] change : new String[][] {
--- a/src/test/java/merlinlever/fleet/experiments/ExperimentCountsTest.java
+++ b/src/test/java/merlinlever/fleet/experiments/ExperimentCountsTest.java
@@ -29,34 +29,34 @@
     }
 
     @Property(tries = 30, seed = "5")
-    void callersAreAssignedByWeightTheSameEverywhere(
+    void assignmentFollowsWeightsAndIsTheSameAtAllBackends(
             @ForAll @IntRange(min = 1, max = 1000) int version, @ForAll @IntRange(min = 1, max = 5) int weight) {
         Experiment experiment = experiment(version, weight, 3, 4);
         BucketAssignment assignment = new BucketAssignment(experiment);
         BucketAssignment elsewhere = new BucketAssignment(experiment(version, weight, 3, 4));
-        BucketAssignment next = new BucketAssignment(experiment(version + 1, weight, 3, 4));
-        int[] count = new int[3];
-        int moved = 0;
+        BucketAssignment nextAssignment = new BucketAssignment(experiment(version + 1, weight, 3, 4));
+        int[] callersByArm = new int[3];
+        int reassigned = 0;
         int callers = 9000;
         for (int i = 0; i < callers; i++) {
             int arm = assignment.arm("caller-" + i);
             assertEquals(arm, elsewhere.arm("caller-" + i));
-            moved += next.arm("caller-" + i) != arm ? 1 : 0;
-            count[arm]++;
+            reassigned += nextAssignment.arm("caller-" + i) != arm ? 1 : 0;
+            callersByArm[arm]++;
         }
         double unchanged = 0;
         for (int arm = 0; arm < 3; arm++) {
             double share = assignment.share(arm);
             assertEquals(
                     experiment.arms().get(arm).weight() / (weight + 7.0), share, 1.0 / BucketAssignment.BUCKET_COUNT);
-            assertEquals(share, count[arm] / (double) callers, 5 * Math.sqrt(share * (1 - share) / callers));
+            assertEquals(share, callersByArm[arm] / (double) callers, 5 * Math.sqrt(share * (1 - share) / callers));
             unchanged += share * share;
         }
-        assertEquals(1 - unchanged, moved / (double) callers, 0.03, "the next experiment assigns them anew");
+        assertEquals(1 - unchanged, reassigned / (double) callers, 0.03, "the next experiment reassigns the callers");
     }
 
     @Test
-    void retriesCountAsTheirRequest() {
+    void retriesAreNotCountedAsNewRequests() {
         Experiment experiment = experiment(1, 1, 1);
         ExperimentCounts counts = new ExperimentCounts(experiment);
         CountedRequest request = counts.requestArrived("c", Optional.of("op1"), false);
@@ -70,13 +70,14 @@
                 new ArmTotals(1, 1, 0, 0, 500, 250_000),
                 counts.totals(request.arm()),
                 "one request, served once, no longer rejected");
-        // First sent to another backend: it counts as a request there, and as served here.
+        // A retry of a request first sent to another backend, which counts the request; this backend counts the
+        // success.
         ExperimentCounts elsewhere = new ExperimentCounts(experiment);
         elsewhere.attemptEnded(elsewhere.requestArrived("c", Optional.of("op2"), true), RequestResult.LATE, 5);
         assertEquals(
                 new ArmTotals(0, 0, 1, 0, 1000, 1_000_000),
                 elsewhere.totals(request.arm()),
-                "never more than the highest value");
+                "value capped at the maximum");
         counts.attemptEnded(counts.requestArrived("c", Optional.of("op2"), false), RequestResult.REJECTED, 0);
         counts.add(elsewhere);
         assertEquals(2, counts.totals(request.arm()).requests());
@@ -94,7 +95,8 @@
         long max = Arrays.stream(counts.requests).max().getAsLong();
         long total = Arrays.stream(counts.requests).sum();
         assertTrue(max <= total * 5 / BucketAssignment.BUCKET_COUNT + 20, max + " of " + total);
-        assertEquals(requests, counts.totals(0).requests() + counts.totals(1).requests(), "all count in the totals");
+        assertEquals(
+                requests, counts.totals(0).requests() + counts.totals(1).requests(), "the totals include all requests");
     }
 
     private static ExperimentCounts randomCounts(Experiment experiment, long seed, int requests) {
@@ -111,18 +113,20 @@
     }
 
     @Property(tries = 20, seed = "6")
-    void countsAreDecodedWholeOrNotAtAll(@ForAll long seed) {
+    void corruptCountsAreNotDecodedInPart(@ForAll long seed) {
         Experiment experiment = experiment(1, 1, 1, 2);
         byte[] encoded = randomCounts(experiment, Math.abs(seed % 1000), 3000).encode();
         assertArrayEquals(
                 encoded,
                 ExperimentCounts.decode(experiment, encoded).orElseThrow().encode());
-        assertTrue(ExperimentCounts.decode(experiment(2, 1, 1, 2), encoded).isEmpty(), "of the same name, changed");
+        assertTrue(
+                ExperimentCounts.decode(experiment(2, 1, 1, 2), encoded).isEmpty(),
+                "counts of a changed experiment of the same name");
         for (int cut = 0; cut < encoded.length; cut += 7) {
             assertTrue(
                     ExperimentCounts.decode(experiment, Arrays.copyOf(encoded, cut))
                             .isEmpty(),
-                    "cut off at " + cut);
+                    "truncated to bytes: " + cut);
         }
         SplittableRandom random = new SplittableRandom(seed);
         for (int i = 0; i < 50; i++) {
@@ -130,7 +134,8 @@
             corrupted[random.nextInt(corrupted.length)] ^= (byte) (1 << random.nextInt(8));
             Optional<ExperimentCounts> decoded = ExperimentCounts.decode(experiment, corrupted);
             assertTrue(
-                    decoded.isEmpty() || Arrays.equals(corrupted, decoded.get().encode()), "never half");
+                    decoded.isEmpty() || Arrays.equals(corrupted, decoded.get().encode()),
+                    "corrupt counts are not decoded in part");
         }
     }
 
@@ -149,22 +154,24 @@
     }
 
     @Test
-    void samplesMergeInAnyOrderAndAnyNumberOfTimes() {
+    void mergeOfSamplesIsCommutativeAndIdempotent() {
         Experiment experiment = experiment(1, 1, 1);
         ExperimentCounts first = randomCounts(experiment, 1, 9000);
         ExperimentCounts second = randomCounts(experiment, 2, 9000);
-        DistinctSample one = new DistinctSample();
-        one.merge(first.sample);
-        one.merge(second.sample);
-        one.merge(first.sample);
-        DistinctSample other = new DistinctSample();
-        other.merge(second.sample);
-        other.merge(first.sample);
-        assertArrayEquals(encoded(one), encoded(other));
-        long[] callers = one.callersByArm(2);
-        long kept = callers[0] + callers[1];
-        assertTrue(kept <= DistinctSample.MAX_CALLERS && kept > DistinctSample.MAX_CALLERS / 4, "kept " + kept);
-        assertEquals(0.5, callers[0] / (double) kept, 4 * Math.sqrt(0.25 / kept));
+        DistinctSample firstMerged = new DistinctSample();
+        firstMerged.merge(first.sample);
+        firstMerged.merge(second.sample);
+        firstMerged.merge(first.sample);
+        DistinctSample secondMerged = new DistinctSample();
+        secondMerged.merge(second.sample);
+        secondMerged.merge(first.sample);
+        assertArrayEquals(encoded(firstMerged), encoded(secondMerged));
+        long[] callers = firstMerged.callersByArm(2);
+        long sampledCallers = callers[0] + callers[1];
+        assertTrue(
+                sampledCallers <= DistinctSample.MAX_CALLERS && sampledCallers > DistinctSample.MAX_CALLERS / 4,
+                "sampled callers: " + sampledCallers);
+        assertEquals(0.5, callers[0] / (double) sampledCallers, 4 * Math.sqrt(0.25 / sampledCallers));
     }
 
     private static byte[] encoded(DistinctSample sample) {
--- a/src/test/java/merlinlever/fleet/experiments/ExperimentNodeTest.java
+++ b/src/test/java/merlinlever/fleet/experiments/ExperimentNodeTest.java
@@ -14,7 +14,7 @@
 
 class ExperimentNodeTest {
 
-    private static Experiment experiment(int version, int deaths, Duration longest) {
+    private static Experiment experiment(int version, int maxCrashes, Duration maxDuration) {
         return new Experiment(
                 "t",
                 version,
@@ -23,39 +23,39 @@
                 0.05,
                 0.1,
                 0.02,
-                longest,
+                maxDuration,
                 Duration.ofSeconds(4),
                 1,
-                deaths);
+                maxCrashes);
     }
 
-    private static ExperimentModel fleet(long seed, int deaths) {
-        return new ExperimentModel(seed, 5, experiment(1, deaths, Duration.ofHours(1)));
+    private static ExperimentModel fleet(long seed, int maxCrashes) {
+        return new ExperimentModel(seed, 5, experiment(1, maxCrashes, Duration.ofHours(1)));
     }
 
     private static void runUntil(ExperimentModel fleet, long maxMs, BooleanSupplier condition) {
-        long end = fleet.nowMs + maxMs;
-        while (fleet.nowMs < end && !condition.getAsBoolean()) {
+        long deadlineMs = fleet.nowMs + maxMs;
+        while (fleet.nowMs < deadlineMs && !condition.getAsBoolean()) {
             fleet.step();
         }
-        assertTrue(condition.getAsBoolean(), "not within " + maxMs + " ms");
+        assertTrue(condition.getAsBoolean(), "condition not met within " + maxMs + " ms");
     }
 
     @Test
-    void resultStandsWhenTheLeaderDiesBeforeItAnnouncesIt() {
+    void resultRemainsIfTheLeaderCrashesBeforeAnnouncingTheResult() {
         ExperimentModel fleet = fleet(1, 1000);
         fleet.servedShare = new double[] {0.5, 0.7};
         fleet.killLeaderAtResult = true;
         runUntil(fleet, 120_000, () -> fleet.resultWrittenAtMs >= 0);
-        // From here on the counts would give another winner.
+        // From now on the counts favor the other arm.
         fleet.servedShare = new double[] {0.9, 0.2};
         runUntil(fleet, 120_000, fleet::allKnowResult);
         assertEquals(1, fleet.results().size());
-        assertEquals(1, fleet.results().iterator().next().arm(), "the result that the dead leader had written");
+        assertEquals(1, fleet.results().iterator().next().arm(), "the result that the crashed leader had written");
     }
 
     @Test
-    void minorityEndsNothingAndRunsTheSafeArmAfterItsLease() {
+    void minorityDoesNotEndTheExperimentAndUsesTheSafeArmAfterTheLease() {
         ExperimentModel fleet = fleet(2, 1000);
         fleet.requestsPerStep = 2;
         fleet.run(10_000);
@@ -64,7 +64,8 @@
         }
         fleet.run(1000);
         assertTrue(
-                fleet.nodes[3].isSplitting() && fleet.nodes[4].isSplitting(), "in a minority it goes on for the lease");
+                fleet.nodes[3].isSplitting() && fleet.nodes[4].isSplitting(),
+                "backends in the minority split callers until the lease expires");
         fleet.servedShare = new double[] {0.9, 0.2};
         fleet.requestsPerStep = 40;
         fleet.run(9000);
@@ -76,14 +77,14 @@
         assertTrue(fleet.nodes[3].result().isEmpty());
         Arrays.fill(fleet.partition, 0);
         runUntil(fleet, 30_000, () -> {
-            assertFalse(fleet.nodes[3].isSplitting(), "it adopts the result before it splits again");
+            assertFalse(fleet.nodes[3].isSplitting(), "the backend adopts the result before it splits callers again");
             return fleet.allKnowResult();
         });
         assertEquals(1, fleet.results().size());
     }
 
     @Test
-    void deadlyArmEndsTheExperimentWithTheSafeArm() {
+    void armThatCrashesBackendsEndsTheExperimentWithTheSafeArm() {
         ExperimentModel fleet = fleet(3, 3);
         fleet.deadlyArm = 1;
         runUntil(fleet, 180_000, fleet::allKnowResult);
@@ -99,19 +100,19 @@
         ExperimentModel fleet = fleet(4, 1000);
         fleet.requestsPerStep = 2;
         fleet.run(30_000);
-        long before = fleet.nodes[0].fleetCounts().totals(0).requests();
-        assertTrue(before > 500, "" + before);
+        long requestsBefore = fleet.nodes[0].fleetCounts().totals(0).requests();
+        assertTrue(requestsBefore > 500, "" + requestsBefore);
         Experiment next = experiment(2, 1000, Duration.ofHours(1));
         fleet.requestsPerStep = 0;
         for (int i = 0; i < 5; i++) {
             fleet.reconfigure(i, next);
         }
         fleet.run(10_000);
-        assertEquals(0, fleet.nodes[0].fleetCounts().totals(0).requests(), "no count of the earlier one");
+        assertEquals(0, fleet.nodes[0].fleetCounts().totals(0).requests(), "no counts of the earlier experiment");
     }
 
     @Test
-    void restartLosesAtMostTheLastPublicationAndCountsNothingTwice() {
+    void restartLosesAtMostTheLastPublicationAndCountsNoRequestTwice() {
         ExperimentModel fleet = fleet(5, 1000);
         fleet.requestsPerStep = 4;
         fleet.run(40_000);
@@ -131,13 +132,13 @@
                     requests,
                     fleet.nodes[i].fleetCounts().totals(0).requests()
                             + fleet.nodes[i].fleetCounts().totals(1).requests(),
-                    "at " + i);
+                    "counts at backend " + i);
         }
-        assertEquals(15, fleet.nodes[0].fleetCounts().deaths());
+        assertEquals(15, fleet.nodes[0].fleetCounts().crashes());
     }
 
     @Test
-    void equalArmsEndAtTheTimeLimitWhichClockJumpsDoNotShorten() {
+    void clockJumpsDoNotShortenTheTimeLimit() {
         ExperimentModel fleet = new ExperimentModel(6, 5, experiment(1, 1000, Duration.ofSeconds(60)));
         fleet.requestsPerStep = 2;
         fleet.run(20_000);
@@ -145,7 +146,7 @@
             fleet.jumpClock(i, 3_600_000);
         }
         fleet.run(20_000);
-        assertTrue(fleet.results().isEmpty(), "the hour of the jump does not count");
+        assertTrue(fleet.results().isEmpty(), "the clock jump of one hour does not count as split time");
         runUntil(fleet, 120_000, fleet::allKnowResult);
         assertEquals(
                 StoppingDecision.Kind.TIME_LIMIT,
@@ -154,7 +155,7 @@
     }
 
     @Test
-    void allBackendsAdoptOneResultUnderAnyFaults() {
+    void allBackendsAdoptTheSameResultUnderRandomFaults() {
         for (int seed = 0; seed < Integer.getInteger("merlinlever.seeds", 4); seed++) {
             SplittableRandom random = new SplittableRandom(seed);
             ExperimentModel fleet = fleet(100 + seed, 10_000);
--- a/src/test/java/merlinlever/fleet/experiments/SequentialAnalysisTest.java
+++ b/src/test/java/merlinlever/fleet/experiments/SequentialAnalysisTest.java
@@ -45,13 +45,13 @@
                 .count();
     }
 
-    /** A count that so many runs, each of that probability, exceed with a probability of less than one in ten thousand. */
+    /** Returns a bound that the number of events in independent runs exceeds with a probability below 1 in 10,000. */
     private static double maxCount(int runs, double probability) {
         return runs * probability + 4 * Math.sqrt(runs * probability * (1 - probability));
     }
 
     @Test
-    void equalArmsRarelyHaveAWinnerHoweverOftenTheTestIsEvaluated() {
+    void repeatedEvaluationOfEqualArmsRarelyYieldsAWinner() {
         int runs = 2000;
         List<SimulationResult> results = simulate(runs, experiment(0), new SimulationSettings(0.6, 0.6, 0, 0, 0, 3000));
         assertTrue(
@@ -65,11 +65,11 @@
                 .count();
         assertTrue(
                 fixedTestWinners > 5 * ALPHA * runs,
-                "a fixed test that is evaluated as often is wrong far more often: " + fixedTestWinners);
+                "false winners of the fixed-sample test, evaluated equally often: " + fixedTestWinners);
     }
 
     @Test
-    void differentCallersAndOneWithHalfOfTheTrafficMakeNoFalseWinner() {
+    void unequalCallersAndAHeavyCallerDoNotCauseFalseWinners() {
         int runs = 200;
         for (double heavyShare : new double[] {0, 0.5}) {
             List<SimulationResult> results =
@@ -101,16 +101,16 @@
                                 .mapToInt(SimulationResult::requests)
                                 .average()
                                 .getAsDouble(),
-                "the looser level is sooner");
+                "harm is detected earlier, at its less strict level");
     }
 
     @Test
-    void irrelevantDifferenceIsNoWinnerAndEqualArmsAreFutile() {
-        List<SimulationResult> small =
+    void differenceBelowTheMinimumYieldsNoWinnerAndEqualArmsAreFutile() {
+        List<SimulationResult> smallDifference =
                 simulate(100, experiment(0.05), new SimulationSettings(0.5, 0.52, 0, 0, 0, 40_000));
         assertTrue(
-                count(small, StoppingDecision.Kind.WINNER) <= maxCount(100, ALPHA),
-                "" + count(small, StoppingDecision.Kind.WINNER));
+                count(smallDifference, StoppingDecision.Kind.WINNER) <= maxCount(100, ALPHA),
+                "" + count(smallDifference, StoppingDecision.Kind.WINNER));
         List<SimulationResult> equal =
                 simulate(100, experiment(0.05), new SimulationSettings(0.5, 0.5, 0, 0, 0, 40_000));
         assertTrue(count(equal, StoppingDecision.Kind.FUTILE) > 80, "" + count(equal, StoppingDecision.Kind.FUTILE));
@@ -140,35 +140,35 @@
     }
 
     @Test
-    void sampleRatioMismatchInvalidatesTheExperimentInsteadOfAWinner() {
+    void sampleRatioMismatchInvalidatesTheExperiment() {
         Experiment experiment = experiment(0.02);
-        SequentialAnalysis test = new SequentialAnalysis(experiment);
+        SequentialAnalysis analysis = new SequentialAnalysis(experiment);
         ExperimentCounts incomplete = counts(experiment, 1, 4000, new double[] {0.4, 0.8}, new double[] {1, 1}, 0.5);
         assertEquals(
                 StoppingDecision.Kind.INVALID,
-                test.evaluate(incomplete, Duration.ZERO).kind());
+                analysis.evaluate(incomplete, Duration.ZERO).kind());
         ExperimentCounts complete = counts(experiment, 1, 4000, new double[] {0.4, 0.8}, new double[] {1, 1}, 1);
         assertEquals(
                 new StoppingDecision(
                         StoppingDecision.Kind.WINNER,
                         1,
-                        test.evaluate(complete, Duration.ZERO).reason()),
-                test.evaluate(complete, Duration.ZERO));
+                        analysis.evaluate(complete, Duration.ZERO).reason()),
+                analysis.evaluate(complete, Duration.ZERO));
     }
 
     @Test
-    void correctAssignmentIsRarelyCalledAMismatchHoweverOftenItIsChecked() {
+    void repeatedChecksOfACorrectAssignmentRarelyReportAMismatch() {
         int mismatches = 0;
         int runs = 2000;
         for (int seed = 0; seed < runs; seed++) {
             SplittableRandom random = new SplittableRandom(seed);
             long[] counts = new long[2];
-            boolean found = false;
+            boolean mismatchFound = false;
             for (int i = 0; i < 400; i++) {
                 counts[random.nextInt(4) == 0 ? 0 : 1]++;
-                found |= i % 10 == 9 && SampleRatioCheck.isMismatch(counts, new double[] {0.25, 0.75}, 0);
+                mismatchFound |= i % 10 == 9 && SampleRatioCheck.isMismatch(counts, new double[] {0.25, 0.75}, 0);
             }
-            mismatches += found ? 1 : 0;
+            mismatches += mismatchFound ? 1 : 0;
         }
         assertTrue(
                 mismatches <= maxCount(runs, SampleRatioCheck.FALSE_ALARM_PROBABILITY / 2), mismatches + " of " + runs);
@@ -176,24 +176,25 @@
     }
 
     @Test
-    void valueDecidesWhereServedSharesAreEqualAndNotAgainstThem() {
+    void valueDecidesOnlyIfServedSharesDoNotContradict() {
         Experiment experiment = experiment(0.02);
-        SequentialAnalysis test = new SequentialAnalysis(experiment);
+        SequentialAnalysis analysis = new SequentialAnalysis(experiment);
         ExperimentCounts moreValue = counts(experiment, 2, 6000, new double[] {0.7, 0.7}, new double[] {0.5, 0.8}, 1);
         assertEquals(
                 StoppingDecision.Kind.WINNER,
-                test.evaluate(moreValue, Duration.ZERO).kind());
-        assertEquals(1, test.evaluate(moreValue, Duration.ZERO).arm());
-        // More are served, with less value: neither wins, and an arm that is worse than the safe one by one measure
-        // does harm.
+                analysis.evaluate(moreValue, Duration.ZERO).kind());
+        assertEquals(1, analysis.evaluate(moreValue, Duration.ZERO).arm());
+        // The second arm serves more requests with less value: no arm wins, and being worse than the safe arm by one
+        // measure counts as harm.
         ExperimentCounts mixed = counts(experiment, 3, 6000, new double[] {0.6, 0.8}, new double[] {0.9, 0.3}, 1);
         assertEquals(
-                StoppingDecision.Kind.HARM, test.evaluate(mixed, Duration.ZERO).kind());
-        assertEquals(0, test.evaluate(mixed, Duration.ZERO).arm());
+                StoppingDecision.Kind.HARM,
+                analysis.evaluate(mixed, Duration.ZERO).kind());
+        assertEquals(0, analysis.evaluate(mixed, Duration.ZERO).arm());
     }
 
     @Test
-    void equalArmsEndAtTheTimeLimitAndNoSooner() {
+    void equalArmsEndExactlyAtTheTimeLimit() {
         Experiment experiment = experiment(0.02);
         ExperimentCounts equal = counts(experiment, 4, 2000, new double[] {0.7, 0.7}, new double[] {1, 1}, 1);
         assertEquals(
