--- a/src/main/java/merlinlever/cli/fleet/AgentClient.java
+++ b/src/main/java/merlinlever/cli/fleet/AgentClient.java
@@ -12,7 +12,7 @@
 import java.net.http.HttpResponse;
 import java.time.Duration;
 
-/** Client of the HTTP API of one host agent. Blocks the caller; a request without an answer fails after five seconds. */
+/** Client of the HTTP API of one host agent. Calls block; a request fails if the agent does not respond in time. */
 final class AgentClient {
 
     private static final Duration TIMEOUT = Duration.ofSeconds(5);
@@ -20,25 +20,25 @@
     private static final ObjectMapper JSON = new ObjectMapper();
 
     /**
-     * How an agent answered.
+     * The response of an agent, or the failure to get one.
      *
-     * @param status of HTTP, {@link #NO_ANSWER} where there was no answer
-     * @param body missing where there was no answer
-     * @param failure for people; of use where it is not {@link #isOk}
+     * @param status HTTP status, or {@link #NO_RESPONSE}
+     * @param body body of the response; a missing node if the agent did not respond
+     * @param failure human-readable reason of the failure; unused if {@link #isOk}
      */
     record AgentResponse(int status, JsonNode body, String failure) {
-        static final int NO_ANSWER = 0;
+        static final int NO_RESPONSE = 0;
 
-        private static AgentResponse noAnswer(String failure) {
-            return new AgentResponse(NO_ANSWER, MissingNode.getInstance(), failure);
+        private static AgentResponse noResponse(String failure) {
+            return new AgentResponse(NO_RESPONSE, MissingNode.getInstance(), failure);
         }
 
         boolean isOk() {
             return status == HttpURLConnection.HTTP_OK;
         }
 
-        boolean isAnswered() {
-            return status != NO_ANSWER;
+        boolean hasResponse() {
+            return status != NO_RESPONSE;
         }
     }
 
@@ -54,7 +54,7 @@
         this.secret = secret;
     }
 
-    /** A client of another agent with the same secret. */
+    /** Returns a client of another agent with the same secret. */
     AgentClient forAgent(String otherAddress) {
         return otherAddress.equals(address) ? this : new AgentClient(otherAddress, secret);
     }
@@ -67,10 +67,10 @@
         return send(HttpRequest.newBuilder(uri(path)).GET());
     }
 
-    /** Sends an order, again where no answer came: the agent carries an order out once for its id. */
+    /** Sends an order, and retries without a response; the agent executes an order with the same id only once. */
     AgentResponse order(AgentOrder order) {
-        AgentResponse response = AgentResponse.noAnswer("");
-        for (int attempt = 0; attempt < MAX_ORDER_ATTEMPTS && !response.isAnswered(); attempt++) {
+        AgentResponse response = AgentResponse.noResponse("");
+        for (int attempt = 0; attempt < MAX_ORDER_ATTEMPTS && !response.hasResponse(); attempt++) {
             response = send(HttpRequest.newBuilder(uri("/orders"))
                     .POST(HttpRequest.BodyPublishers.ofString(order.json().toString())));
         }
@@ -89,15 +89,15 @@
                             .build(),
                     HttpResponse.BodyHandlers.ofString());
             JsonNode body = JSON.readTree(response.body());
-            String failure = body.path("error").asText("answers " + response.statusCode());
+            String failure = body.path("error").asText("responded with status " + response.statusCode());
             return new AgentResponse(response.statusCode(), body, failure);
         } catch (ConnectException e) {
-            return AgentResponse.noAnswer("cannot be reached");
+            return AgentResponse.noResponse("cannot be reached");
         } catch (IOException e) {
-            return AgentResponse.noAnswer("gives no answer");
+            return AgentResponse.noResponse("did not respond");
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
-            return AgentResponse.noAnswer("interrupted");
+            return AgentResponse.noResponse("interrupted");
         }
     }
 }
--- a/src/main/java/merlinlever/cli/fleet/AgentOptions.java
+++ b/src/main/java/merlinlever/cli/fleet/AgentOptions.java
@@ -9,7 +9,7 @@
 import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.Option;
 
-/** The options that say which agents are asked, and in which form their answers are shown. */
+/** The options for the agents to query and for the output format. */
 final class AgentOptions {
 
     private static final String ADDRESS_AND_PORT = "(\\[[0-9a-fA-F:.]+\\]|[0-9.]+):[0-9]{1,5}";
@@ -36,9 +36,9 @@
     }
 
     /**
-     * One client for each agent, in the order of the command line.
+     * Returns one client for each agent, in the order of the command line.
      *
-     * @throws CommandLine.ParameterException if an address is none or the secret cannot be read
+     * @throws CommandLine.ParameterException if an address is invalid or the secret cannot be read
      */
     List<AgentClient> clients(CommandSpec spec) {
         String secret = readSecret(spec);
--- a/src/main/java/merlinlever/cli/fleet/AgentOrder.java
+++ b/src/main/java/merlinlever/cli/fleet/AgentOrder.java
@@ -6,15 +6,15 @@
 import merlinlever.host.state.OrderTracker;
 
 /**
- * An order to the agent of some instances.
+ * An order to an agent for some of its instances.
  *
- * @param id under which the agent carries it out once, however often it is sent
- * @param immediate whether instances that are to end are killed in place of drained
- * @param instances by name
+ * @param id identifier of the order; the agent executes an order only once, even if the order is sent repeatedly
+ * @param immediate whether the agent kills the instances instead of draining them
+ * @param instances names of the instances
  */
 record AgentOrder(String id, OrderTracker.OrderVerb verb, boolean immediate, List<String> instances) {
 
-    /** The order as the agent's API expects it. */
+    /** Returns the order as JSON for the agent's API. */
     ObjectNode json() {
         ObjectNode order = JsonNodeFactory.instance
                 .objectNode()
--- a/src/main/java/merlinlever/cli/fleet/EventsCommand.java
+++ b/src/main/java/merlinlever/cli/fleet/EventsCommand.java
@@ -8,7 +8,7 @@
 import java.util.Locale;
 import picocli.CommandLine.Command;
 
-/** {@code fleet events}: what has happened to the instances, as the agents remember it. */
+/** {@code fleet events}: shows the recent events of the instances from the event history of the agents. */
 @Command(
         name = "events",
         mixinStandardHelpOptions = true,
--- a/src/main/java/merlinlever/cli/fleet/FleetCommands.java
+++ b/src/main/java/merlinlever/cli/fleet/FleetCommands.java
@@ -5,7 +5,7 @@
 import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.Spec;
 
-/** The group of commands with which operators look at instances and control them through their agents. */
+/** The group of commands with which operators inspect and control instances through their agents. */
 @Command(
         name = "fleet",
         mixinStandardHelpOptions = true,
--- a/src/main/java/merlinlever/cli/fleet/FleetSnapshot.java
+++ b/src/main/java/merlinlever/cli/fleet/FleetSnapshot.java
@@ -8,30 +8,32 @@
 import java.util.Map;
 
 /**
- * The instances of a fleet as its agents report them at one moment.
+ * The instances of a fleet as reported by its agents at one time.
  *
- * @param instances each once, by its youngest report
- * @param problems one line for each agent that does not answer or whose instances are not known
+ * @param instances one entry per instance, from its most recent report
+ * @param problems one line for each agent that did not respond or whose instances are unknown
  */
 record FleetSnapshot(List<ReportedInstance> instances, List<String> problems) {
 
-    /** Asks all agents, one after the other. */
+    /** Queries all agents sequentially. */
     static FleetSnapshot read(List<AgentClient> clients) {
         Collector collector = new Collector();
         clients.forEach(collector::add);
         return collector.snapshot();
     }
 
-    /** The instances that the filter selects. */
+    /** Returns the instances that match the filter. */
     List<ReportedInstance> matching(InstanceFilter filter) {
         return instances.stream().filter(filter::matches).toList();
     }
 
-    /** Merges the answers of several agents, of which each also passes on what it knows of the others. */
+    /** Merges the responses of several agents; each response also contains reports of other agents. */
     private static final class Collector {
-        private final Map<String, ReportedInstance> youngestReport = new LinkedHashMap<>();
-        private final Map<String, Long> reportAgeMillis = new LinkedHashMap<>();
-        private final Map<String, String> unknownHosts = new LinkedHashMap<>();
+        private final Map<String, ReportedInstance> latestReports = new LinkedHashMap<>();
+        private final Map<String, Long> latestReportAges = new LinkedHashMap<>();
+        /** Why the instances of a host are unknown; empty once they are known. */
+        private final Map<String, String> hostProblems = new LinkedHashMap<>();
+
         private final List<String> problems = new ArrayList<>();
 
         void add(AgentClient client) {
@@ -49,30 +51,30 @@
             String host = agent.path("host").asText();
             if (!agent.path("report_ms_ago").isNumber()) {
                 if (!agent.path("status").asText().equals("left")) {
-                    unknownHosts.putIfAbsent(
+                    hostProblems.putIfAbsent(
                             host,
                             "agent " + host + " at " + agent.path("api").asText() + " is "
-                                    + agent.path("status").asText() + " and has not told of its instances");
+                                    + agent.path("status").asText() + " and has not reported its instances");
                 }
                 return;
             }
             long ageMillis = agent.path("report_ms_ago").asLong();
             for (JsonNode instance : agent.path("instances")) {
                 String key = host + " " + instance.path("name").asText();
-                if (ageMillis < reportAgeMillis.getOrDefault(key, Long.MAX_VALUE)) {
-                    reportAgeMillis.put(key, ageMillis);
+                if (ageMillis < latestReportAges.getOrDefault(key, Long.MAX_VALUE)) {
+                    latestReportAges.put(key, ageMillis);
                     ObjectNode withAgent = ((ObjectNode) instance)
                             .put("agent", agent.path("api").asText());
-                    youngestReport.put(key, new ReportedInstance(withAgent));
+                    latestReports.put(key, new ReportedInstance(withAgent));
                 }
             }
-            // Known now, whatever another agent said or will say.
-            unknownHosts.put(host, "");
+            // The instances are known now; discards the reports by other agents that they are unknown.
+            hostProblems.put(host, "");
         }
 
         FleetSnapshot snapshot() {
-            unknownHosts.values().stream().filter(line -> !line.isEmpty()).forEach(problems::add);
-            return new FleetSnapshot(List.copyOf(youngestReport.values()), List.copyOf(problems));
+            hostProblems.values().stream().filter(line -> !line.isEmpty()).forEach(problems::add);
+            return new FleetSnapshot(List.copyOf(latestReports.values()), List.copyOf(problems));
         }
     }
 }
--- a/src/main/java/merlinlever/cli/fleet/FleetSubcommand.java
+++ b/src/main/java/merlinlever/cli/fleet/FleetSubcommand.java
@@ -12,14 +12,14 @@
 import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.Spec;
 
-/** What the commands under {@code fleet} that ask agents have in common: their options and how they print instances. */
+/** Base class of the {@code fleet} commands that query agents, with their common options and output of instances. */
 abstract class FleetSubcommand implements Callable<Integer> {
 
     static final ObjectMapper JSON = new ObjectMapper();
     private static final int VIEW_DIGEST_DIGITS = 6;
     private static final double MILLIS_PER_SECOND = Duration.ofSeconds(1).toMillis();
     private static final long SECONDS_PER_MINUTE = Duration.ofMinutes(1).toSeconds();
-    /** Longer times are printed in minutes. */
+    /** Longer durations are printed in minutes. */
     private static final double MAX_PRINTED_SECONDS = 100;
 
     @Spec
@@ -48,7 +48,7 @@
         return agentOptions.format() == OutputFormat.json;
     }
 
-    /** Prints the instances in the form that the command line asks for. */
+    /** Prints the instances in the selected output format. */
     final void print(List<ReportedInstance> instances) {
         if (printsJson()) {
             ArrayNode array = JSON.createArrayNode();
@@ -74,7 +74,9 @@
         table.print(out());
     }
 
-    /** Its quorum status and which view it has, by the first digits of the digest: a diverging one stands out in the column. */
+    /**
+     * Returns the quorum status, the view number and the first digits of the view digest, which show a diverging view.
+     */
     static String viewSummary(JsonNode view) {
         if (!view.isObject()) {
             return "-";
@@ -88,7 +90,7 @@
         return millis / MILLIS_PER_SECOND;
     }
 
-    /** A time in milliseconds for people, a dash where there is none. */
+    /** Formats a duration in milliseconds for display; returns a dash if there is no duration. */
     static String elapsed(JsonNode millis) {
         if (!millis.isNumber()) {
             return "-";
@@ -99,7 +101,7 @@
                 : String.format(Locale.ROOT, "%dm", (long) seconds / SECONDS_PER_MINUTE);
     }
 
-    /** Prints the problems to standard error and returns the exit status: 0 where there are none, else 1. */
+    /** Prints the problems to standard error and returns the exit status: 0 without problems, otherwise 1. */
     final int report(List<String> problems) {
         problems.forEach(err()::println);
         err().flush();
--- a/src/main/java/merlinlever/cli/fleet/HostAgentProcess.java
+++ b/src/main/java/merlinlever/cli/fleet/HostAgentProcess.java
@@ -31,17 +31,17 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** The process of {@code host run}: assembles the agent of one machine, runs it and shuts it down. */
+/** The process of {@code host run}: assembles, runs and shuts down the agent of one machine. */
 final class HostAgentProcess {
 
     private static final Logger LOG = LoggerFactory.getLogger("host");
     private static final Duration SHUTDOWN_POLL_PERIOD = Duration.ofMillis(20);
-    /** After a power loss all machines start at once: the launches of each are spread over so long. */
+    /** Time over which the launches of instances are spread, because all machines start at once after a power loss. */
     private static final Duration DEFAULT_LAUNCH_SPREAD = Duration.ofMillis(500);
 
-    private static final Duration DEFAULT_STOP = Duration.ofSeconds(5);
-    private static final Duration DEFAULT_STOP_WITH_DRAIN = Duration.ofSeconds(60);
-    /** One part in so many of the time to the stop is the grace, in which new requests are accepted still. */
+    private static final Duration DEFAULT_SHUTDOWN_TIMEOUT = Duration.ofSeconds(5);
+    private static final Duration DEFAULT_SHUTDOWN_TIMEOUT_WITH_DRAIN = Duration.ofSeconds(60);
+    /** Ratio of the shutdown timeout to the grace period in which new requests are still accepted. */
     private static final int GRACE_DIVISOR = 5;
 
     private static final int MIN_SECRET_CHARACTERS = 16;
@@ -50,21 +50,22 @@
     private final HostAgent agent;
     private final HostApiServer server;
     private final InetSocketAddress serverAddress;
-    /** Empty where no other agents are configured. */
+    /** Empty if no other agents are configured. */
     private final Optional<RecoveryCoordinator> recovery;
 
     private final boolean drain;
-    private final Duration stop;
+    private final Duration shutdownTimeout;
 
     /**
-     * Listens, and launches nothing yet.
+     * Opens the listening sockets; instances are launched later, by {@link #run}.
      *
-     * @param drain whether the instances are drained when the agent ends
+     * @param drain whether the agent drains its instances at shutdown
      * @throws InvalidConfigFileException if the agent cannot start with the configuration
      */
     HostAgentProcess(ConfigFile config, boolean drain) throws InvalidConfigFileException {
         this.drain = drain;
-        stop = config.duration("stop", drain ? DEFAULT_STOP_WITH_DRAIN : DEFAULT_STOP);
+        shutdownTimeout =
+                config.duration("stop", drain ? DEFAULT_SHUTDOWN_TIMEOUT_WITH_DRAIN : DEFAULT_SHUTDOWN_TIMEOUT);
         String secret = secret(config);
         Path stateFolder = config.path("state", "state");
         List<InstanceSpec> instances = InstanceSpecParser.parse(config, stateFolder);
@@ -87,7 +88,7 @@
             server = new HostApiServer(
                     loop,
                     new HostApiServer.Settings(
-                            address(config, "listen"), config.text("name", ""), secret, grace(), seed),
+                            address(config, "listen"), config.text("name", ""), secret, gracePeriod(), seed),
                     agent,
                     peers,
                     recovery,
@@ -109,7 +110,7 @@
             throw config.invalidValue("secret-file", "cannot be read: " + file, e);
         }
         if (secret.length() < MIN_SECRET_CHARACTERS) {
-            throw config.invalidValue("secret-file", "the secret has under 16 characters");
+            throw config.invalidValue("secret-file", "the secret has fewer than 16 characters");
         }
         return secret;
     }
@@ -129,10 +130,11 @@
             throws InvalidConfigFileException, IOException {
         String apiAddress = config.text("listen", "");
         if (apiAddress.endsWith(":0")) {
-            throw config.invalidValue("listen", "with members the port has to be stated, as others are told it");
+            throw config.invalidValue(
+                    "listen", "port 0 is not allowed with members, because other agents are given the port");
         }
-        // Others send to the advertised address, which differs where something stands between, such as the fault
-        // harness.
+        // Other agents send to the advertised address, which differs from the listening address behind a proxy such as
+        // the fault harness.
         NodeSettings node = new NodeSettings(
                 config.text("name", ""),
                 address(config, "members.listen"),
@@ -155,11 +157,11 @@
                 .orElseThrow(() -> config.invalidValue(path, "expected ADDRESS:PORT, found " + text));
     }
 
-    private Duration grace() {
-        return stop.dividedBy(GRACE_DIVISOR);
+    private Duration gracePeriod() {
+        return shutdownTimeout.dividedBy(GRACE_DIVISOR);
     }
 
-    /** Runs the agent until SIGTERM. */
+    /** Runs the agent until a shutdown by SIGTERM has completed. */
     void run() {
         ServiceRunner runner = ServiceRunner.handlingTermination(loop, this::startShutdown);
         LOG.info("listening address={}", SocketAddresses.format(serverAddress));
@@ -167,22 +169,22 @@
     }
 
     private void startShutdown() {
-        LOG.info("shutdown-started stop_ms={} drain_instances={}", stop.toMillis(), drain);
-        server.startDrain(stop);
+        LOG.info("shutdown-started stop_ms={} drain_instances={}", shutdownTimeout.toMillis(), drain);
+        server.startDrain(shutdownTimeout);
         recovery.ifPresent(RecoveryCoordinator::announceLeave);
         if (drain) {
             agent.drainAll();
         }
-        loop.schedule(drain ? SHUTDOWN_POLL_PERIOD : grace(), () -> {
+        loop.schedule(drain ? SHUTDOWN_POLL_PERIOD : gracePeriod(), () -> {
             if (!drain) {
                 server.close();
             }
-            loop.runNowAndEvery(SHUTDOWN_POLL_PERIOD, this::stopWhenAnswered);
+            loop.runNowAndEvery(SHUTDOWN_POLL_PERIOD, this::stopWhenIdle);
         });
-        loop.schedule(stop, loop::stop);
+        loop.schedule(shutdownTimeout, loop::stop);
     }
 
-    private void stopWhenAnswered() {
+    private void stopWhenIdle() {
         if (server.isIdle() && (!drain || agent.areAllDown())) {
             loop.stop();
         }
--- a/src/main/java/merlinlever/cli/fleet/HostCommands.java
+++ b/src/main/java/merlinlever/cli/fleet/HostCommands.java
@@ -10,7 +10,7 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Spec;
 
-/** The group of commands about the agent of one machine. */
+/** The group of commands for the host agent of one machine. */
 @Command(
         name = "host",
         mixinStandardHelpOptions = true,
@@ -27,7 +27,7 @@
         throw new CommandLine.ParameterException(spec.commandLine(), "Which command?");
     }
 
-    /** {@code host run}: the agent, which ends without its instances unless it is to drain them. */
+    /** {@code host run}: runs the agent, whose instances continue to run after its end unless the agent drains them. */
     @Command(
             name = "run",
             mixinStandardHelpOptions = true,
--- a/src/main/java/merlinlever/cli/fleet/InstanceFilter.java
+++ b/src/main/java/merlinlever/cli/fleet/InstanceFilter.java
@@ -7,7 +7,7 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
-/** The options that select instances; an instance has to fulfil all that are given. */
+/** The options that select instances; an instance has to match all given options. */
 final class InstanceFilter {
 
     @Parameters(paramLabel = "NAME", arity = "0..*", description = "names of instances")
@@ -33,7 +33,7 @@
         return names;
     }
 
-    /** Whether the command line says anything about which instances are meant. */
+    /** Returns whether the command line contains any option that selects instances. */
     boolean isGiven() {
         return all || !names.isEmpty() || host != null || !labels.isEmpty() || state != null;
     }
--- a/src/main/java/merlinlever/cli/fleet/InstanceSpecParser.java
+++ b/src/main/java/merlinlever/cli/fleet/InstanceSpecParser.java
@@ -17,9 +17,9 @@
 import merlinlever.host.run.InstanceSpec;
 
 /**
- * Reads the instances of one machine from the list {@code kinds} of its agent's configuration. Each kind stands for a number of
- * instances, in whose commands, environments and files placeholders such as {@code {n}} and {@code {folder}} are filled in; the
- * files are written here.
+ * Reads the instances of one machine from the list {@code kinds} of its agent's configuration. Each kind defines a
+ * number of instances. Placeholders such as {@code {n}} and {@code {folder}} are replaced in their commands,
+ * environments and files, and the files are written.
  */
 final class InstanceSpecParser {
 
@@ -38,7 +38,7 @@
         this.stateFolder = stateFolder;
     }
 
-    /** All instances in the order of the file, with their folders below that of the agent. */
+    /** Returns all instances in the order of the file, with their folders below the state folder of the agent. */
     static List<InstanceSpec> parse(ConfigFile config, Path stateFolder) throws InvalidConfigFileException {
         InstanceSpecParser parser = new InstanceSpecParser(config, stateFolder);
         for (int kind = 0; kind < config.size("kinds"); kind++) {
@@ -52,7 +52,8 @@
         for (int number = 1; number <= count; number++) {
             InstanceSpec instance = instance(path, number);
             if (!names.add(instance.name())) {
-                throw config.invalidValue(path + ".name", "an instance " + instance.name() + " is there already");
+                throw config.invalidValue(
+                        path + ".name", "the instance name " + instance.name() + " is already in use");
             }
             checkManagementAddress(path, instance);
             instances.add(instance);
@@ -64,7 +65,8 @@
         if (address.isPresent() && !managementAddresses.add(address.get())) {
             throw config.invalidValue(
                     path + ".manage",
-                    "another instance tells of itself at " + address.get().getPort());
+                    "another instance already uses the management port "
+                            + address.get().getPort());
         }
     }
 
@@ -87,7 +89,9 @@
                 config.number(path + ".log-mb", DEFAULT_LOG_MB) * BYTES_PER_MB);
     }
 
-    /** Each further instance of a kind takes the next port; empty where none is configured. */
+    /**
+     * Returns the management address, with consecutive ports for the instances of a kind; empty if none is configured.
+     */
     private Optional<InetSocketAddress> managementAddress(String path, int number) throws InvalidConfigFileException {
         if (!config.has(path + ".manage")) {
             return Optional.empty();
@@ -96,7 +100,7 @@
         int colon = text.lastIndexOf(':');
         int port = Integer.parseInt(text.substring(colon + 1)) + number - 1;
         if (port > MAX_PORT) {
-            throw config.invalidValue(path + ".manage", "the ports of " + number + " instances go beyond " + MAX_PORT);
+            throw config.invalidValue(path + ".manage", "the ports of " + number + " instances exceed " + MAX_PORT);
         }
         return Optional.of(new InetSocketAddress(text.substring(0, colon), port));
     }
@@ -133,14 +137,15 @@
             long maxDescriptors = config.number(path + ".limits.sockets", 0);
             command.addAll(List.of("/bin/sh", "-c", "ulimit -n " + maxDescriptors + " && exec \"$@\"", "sh"));
         }
-        config.textList(path + ".command").forEach(word -> command.add(filledIn(word, placeholders)));
+        config.textList(path + ".command")
+                .forEach(argument -> command.add(replacePlaceholders(argument, placeholders)));
         return command;
     }
 
     private Map<String, String> environment(String path, Map<String, String> placeholders) {
         Map<String, String> environment = new LinkedHashMap<>();
         config.textMap(path + ".environment")
-                .forEach((key, value) -> environment.put(key, filledIn(value, placeholders)));
+                .forEach((key, value) -> environment.put(key, replacePlaceholders(value, placeholders)));
         return environment;
     }
 
@@ -152,9 +157,9 @@
                     config.textMap(path + ".files").entrySet()) {
                 Path target = folder.resolve(file.getKey()).normalize();
                 if (!target.startsWith(folder)) {
-                    throw config.invalidValue(path + ".files", file.getKey() + " leaves the instance's folder");
+                    throw config.invalidValue(path + ".files", file.getKey() + " is outside of the instance's folder");
                 }
-                Files.writeString(target, filledIn(file.getValue(), placeholders));
+                Files.writeString(target, replacePlaceholders(file.getValue(), placeholders));
             }
         } catch (IOException e) {
             throw new InvalidConfigFileException(
@@ -162,7 +167,7 @@
         }
     }
 
-    private static String filledIn(String text, Map<String, String> placeholders) {
+    private static String replacePlaceholders(String text, Map<String, String> placeholders) {
         String result = text;
         for (Map.Entry<String, String> placeholder : placeholders.entrySet()) {
             result = result.replace(placeholder.getKey(), placeholder.getValue());
--- a/src/main/java/merlinlever/cli/fleet/ListCommand.java
+++ b/src/main/java/merlinlever/cli/fleet/ListCommand.java
@@ -3,7 +3,7 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Mixin;
 
-/** {@code fleet list}: all selected instances, a line each. */
+/** {@code fleet list}: lists the selected instances, one per line. */
 @Command(
         name = "list",
         mixinStandardHelpOptions = true,
--- a/src/main/java/merlinlever/cli/fleet/OrderCommand.java
+++ b/src/main/java/merlinlever/cli/fleet/OrderCommand.java
@@ -15,7 +15,7 @@
 import picocli.CommandLine.Mixin;
 import picocli.CommandLine.Option;
 
-/** A command that sends one order for the selected instances to their agents, and follows it to its end where it is to wait. */
+/** A command that sends one order to the agents of the selected instances and optionally waits for its completion. */
 abstract class OrderCommand extends FleetSubcommand {
 
     private static final Duration POLL_PERIOD = Duration.ofMillis(200);
@@ -42,7 +42,7 @@
             description = "id of the order; an order with an id that was already used is not executed again")
     private String givenId;
 
-    /** Orders as the agents last reported them, by the agent that has them. */
+    /** The last reported state of the order at each agent. */
     private final Map<AgentClient, JsonNode> orders = new LinkedHashMap<>();
 
     private final Map<String, String> printedProgress = new LinkedHashMap<>();
@@ -53,13 +53,13 @@
         this.verb = verb;
     }
 
-    /** Whether the instances are ended without a drain. */
+    /** Returns whether the instances are stopped without a drain. */
     boolean isImmediate() {
         return false;
     }
 
-    /** Whether the operator confirms; asked before anything is ordered. */
-    boolean confirmed(List<ReportedInstance> selected) {
+    /** Returns whether the operator confirms the order; called before any order is sent. */
+    boolean isConfirmed(List<ReportedInstance> selected) {
         return true;
     }
 
@@ -67,7 +67,7 @@
     public final Integer call() throws InterruptedException {
         if (!filter.isGiven()) {
             throw new CommandLine.ParameterException(
-                    spec().commandLine(), "Which instances? Give names, --host, --label, --state or --all.");
+                    spec().commandLine(), "no instances selected: give names, --host, --label, --state or --all");
         }
         List<AgentClient> clients = clients();
         FleetSnapshot fleet = FleetSnapshot.read(clients);
@@ -75,13 +75,13 @@
         List<String> problems = new ArrayList<>(fleet.problems());
         addUnknownNames(selected, problems);
         if (!problems.isEmpty()) {
-            // Part of what was asked for cannot be carried out, so nothing of it is begun.
+            // Sends no order at all if a part of the order cannot be executed.
             report(problems);
-            err().println("nothing was ordered");
+            err().println("no order was sent");
             return 1;
         }
         if (selected.isEmpty()) {
-            err().println("no instance fits; nothing was ordered");
+            err().println("no instance matches; no order was sent");
             return 1;
         }
         if (dryRun) {
@@ -90,8 +90,8 @@
             out().flush();
             return 0;
         }
-        if (!confirmed(selected)) {
-            err().println("nothing was ordered");
+        if (!isConfirmed(selected)) {
+            err().println("no order was sent");
             return 1;
         }
         String id = givenId == null ? UUID.randomUUID().toString() : givenId;
@@ -102,13 +102,13 @@
     private void addUnknownNames(List<ReportedInstance> selected, List<String> problems) {
         for (String name : filter.names()) {
             if (selected.stream().noneMatch(instance -> instance.name().equals(name))) {
-                String hint = problems.isEmpty() ? "" : " to the agents that answered";
+                String hint = problems.isEmpty() ? "" : " to the agents that responded";
                 problems.add("no instance " + name + " is known" + hint);
             }
         }
     }
 
-    /** Returns whether all agents accepted the order. */
+    /** Sends the order to all agents involved; returns whether every agent accepted the order. */
     private boolean sendToAgents(AgentClient anyClient, List<ReportedInstance> selected, String id) {
         Map<String, List<ReportedInstance>> instancesByAgent = selected.stream()
                 .collect(Collectors.groupingBy(ReportedInstance::agent, LinkedHashMap::new, Collectors.toList()));
@@ -123,15 +123,18 @@
                 continue;
             }
             isAccepted = false;
-            String hint = response.isAnswered()
+            String hint = response.hasResponse()
                     ? ""
-                    : "; whether it took the order is not known, send it again with --id " + id;
+                    : "; the agent may have accepted the order, repeat the command with --id " + id;
             err().println("agent " + client.address() + ": " + response.failure() + hint);
         }
         return isAccepted;
     }
 
-    /** Prints the progress until the order is over or the time is; returns whether all of it was done, as far as it waited. */
+    /**
+     * Prints the progress until the order is over, or once without --wait, or until the timeout; returns whether the
+     * order has succeeded so far.
+     */
     private boolean follow(String id) throws InterruptedException {
         long deadline = System.nanoTime() + Duration.ofSeconds(timeoutSeconds).toNanos();
         while (true) {
@@ -141,7 +144,8 @@
             out().flush();
             if (isOver || !wait || System.nanoTime() > deadline) {
                 if (wait && !isOver) {
-                    err().println("not over after " + timeoutSeconds + " s; it goes on. Look again with --id " + id);
+                    err().println("the order is not over after " + timeoutSeconds
+                            + " s and continues; repeat the command with --id " + id);
                 }
                 return orders.values().stream().allMatch(this::isDone);
             }
--- a/src/main/java/merlinlever/cli/fleet/OutputFormat.java
+++ b/src/main/java/merlinlever/cli/fleet/OutputFormat.java
@@ -1,9 +1,9 @@
 package merlinlever.cli.fleet;
 
-/** The forms in which the commands print what they found. The constants are the values of the option {@code --output}. */
+/** The output formats of the commands. The constants are the values of the option {@code --output}. */
 enum OutputFormat {
-    /** Aligned columns for people. */
+    /** Aligned columns for display. */
     table,
-    /** JSON for programs. */
+    /** JSON for further processing. */
     json
 }
--- a/src/main/java/merlinlever/cli/fleet/QuotasCommand.java
+++ b/src/main/java/merlinlever/cli/fleet/QuotasCommand.java
@@ -8,7 +8,7 @@
 import java.util.TreeMap;
 import picocli.CommandLine.Command;
 
-/** {@code fleet budgets}: the part of each fleet quota that each backend holds, and the sums. */
+/** {@code fleet budgets}: shows each backend's share of the fleet quotas, and the totals. */
 @Command(
         name = "budgets",
         mixinStandardHelpOptions = true,
@@ -17,7 +17,7 @@
         exitCodeList = {"0:all agents responded", "1:at least one agent did not respond", "2:wrong usage"})
 final class QuotasCommand extends FleetSubcommand {
 
-    /** What the backends hold of one quota together. */
+    /** The sum of the shares of one quota. */
     private static final class QuotaSum {
         private long shares;
         private long quota;
@@ -79,7 +79,7 @@
             }
         }
         table.print(out());
-        // The agents are asked one after the other: a share that moved in between is counted twice or not at all.
+        // The agents are queried sequentially: a share transferred meanwhile is counted twice or not at all.
         sums.forEach((quota, sum) -> out().println(quota + ": " + sum));
     }
 
--- a/src/main/java/merlinlever/cli/fleet/RecoverCommand.java
+++ b/src/main/java/merlinlever/cli/fleet/RecoverCommand.java
@@ -22,7 +22,7 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Spec;
 
-/** {@code fleet recover}: what a restarted process would trust of the state in its folder. Changes nothing in it. */
+/** {@code fleet recover}: reports which parts of a state folder a restarted process would trust. Read-only. */
 @Command(
         name = "recover",
         mixinStandardHelpOptions = true,
@@ -56,15 +56,15 @@
     public Integer call() {
         if (expectedOwner != null && !expectedOwner.matches("[!-~]+@[!-~]+")) {
             throw new CommandLine.ParameterException(
-                    spec.commandLine(), "--owner is NAME@ADDRESS:PORT, not " + expectedOwner);
+                    spec.commandLine(), "--owner: expected NAME@ADDRESS:PORT, found " + expectedOwner);
         }
-        boolean allTrusted = true;
+        boolean areAllTrusted = true;
         for (Path folder : folders) {
-            allTrusted &= assess(folder);
+            areAllTrusted &= assess(folder);
         }
         out().flush();
         err().flush();
-        return allTrusted ? 0 : 1;
+        return areAllTrusted ? 0 : 1;
     }
 
     private PrintWriter out() {
@@ -75,7 +75,7 @@
         return spec.commandLine().getErr();
     }
 
-    /** Prints what is found, and returns whether all of it is trusted. */
+    /** Prints the assessment of a state folder and returns whether the whole state is trusted. */
     private boolean assess(Path folder) {
         if (!Files.isDirectory(folder)) {
             err().println(folder + ": no such folder");
@@ -87,7 +87,7 @@
             return assessLedger(directory) && isStateTrusted;
         } catch (IOException e) {
             String hint = Files.exists(folder.resolve(LOCK_FILE))
-                    ? "; a running process told at its start what it found"
+                    ? "; a running process reported its recovered state when it started"
                     : "";
             err().println(folder + ": " + e.getMessage() + hint);
             return false;
@@ -97,7 +97,7 @@
     private boolean assessState(StateDirectory directory) throws IOException {
         LoadedState loaded = new RecoveryFile(directory).read();
         Optional<String> writer = loaded.state().map(PersistedState::owner);
-        // Without a state there is no owner to compare with.
+        // Without a stored state, there is no owner to compare with.
         String owner = Optional.ofNullable(expectedOwner).or(() -> writer).orElse("");
         TrustedState trusted = PersistedStateAssessor.assess(loaded, owner, System.currentTimeMillis());
         writer.ifPresent(name -> out().println("  owner: " + name));
@@ -109,7 +109,7 @@
         return isTrusted;
     }
 
-    /** The ledger of an agent's instances; a backend has none. */
+    /** Assesses the instance ledger, which only an agent has; returns whether the ledger is trusted. */
     private boolean assessLedger(StateDirectory directory) throws IOException {
         if (!directory.exists(InstanceLedger.FILE_NAME)) {
             return true;
@@ -117,7 +117,7 @@
         try {
             int instances = new InstanceLedger(directory).names().size();
             out().println("  instances: kept, " + instances
-                    + " noted; a process that still runs is taken over, others that are wanted are launched");
+                    + " recorded; processes that still run are adopted, other instances that should run are launched");
             return true;
         } catch (InstanceLedger.CorruptLedgerException e) {
             out().println("  instances: " + e.getMessage());
--- a/src/main/java/merlinlever/cli/fleet/ReportedInstance.java
+++ b/src/main/java/merlinlever/cli/fleet/ReportedInstance.java
@@ -3,9 +3,9 @@
 import com.fasterxml.jackson.databind.JsonNode;
 
 /**
- * What an agent reports of one instance.
+ * The report of an agent about one instance.
  *
- * @param json as in the agents' answer to {@code GET /fleet}, with the address of the agent added as {@code agent}
+ * @param json entry of the agents' response to {@code GET /fleet}, with the address of the agent added as {@code agent}
  */
 record ReportedInstance(JsonNode json) {
 
@@ -13,32 +13,32 @@
         return json.path("name").asText();
     }
 
-    /** The name of its machine. */
+    /** Returns the name of the machine. */
     String host() {
         return json.path("host").asText();
     }
 
-    /** The external name of its state. */
+    /** Returns the external name of the instance's state. */
     String state() {
         return json.path("state").asText();
     }
 
-    /** The address of the agent that keeps it. */
+    /** Returns the address of the agent that supervises the instance. */
     String agent() {
         return json.path("agent").asText();
     }
 
-    /** Why it is in its state, for people. */
+    /** Returns a human-readable reason for the state. */
     String reason() {
         return json.path("why").asText();
     }
 
-    /** The value of a label; null where it has none of that key. */
+    /** Returns the value of a label, or null if the instance has no label with the key. */
     String label(String key) {
         return json.path("labels").path(key).asText(null);
     }
 
-    /** Its own last status report; a JSON null where it sent none. */
+    /** Returns the last status report by the instance itself, or a JSON null without a report. */
     JsonNode status() {
         return json.path("told");
     }
@@ -51,12 +51,12 @@
         return json.path("age_ms");
     }
 
-    /** 0 where no process is known. */
+    /** Returns the process id, or 0 if no process is known. */
     long processId() {
         return json.path("pid").asLong();
     }
 
-    /** How often its agent has launched it. */
+    /** Returns how often the agent has launched the instance. */
     long launches() {
         return json.path("launches").asLong();
     }
--- a/src/main/java/merlinlever/cli/fleet/RollCommand.java
+++ b/src/main/java/merlinlever/cli/fleet/RollCommand.java
@@ -15,7 +15,10 @@
 import picocli.CommandLine.Mixin;
 import picocli.CommandLine.Option;
 
-/** {@code fleet roll}: a rolling restart, which goes on only while successors warm up and callers are not worse off. */
+/**
+ * {@code fleet roll}: a rolling restart that continues only while restarted instances warm up and rejections do not
+ * rise.
+ */
 @Command(
         name = "roll",
         mixinStandardHelpOptions = true,
@@ -67,7 +70,7 @@
     @Option(names = "--dry-run", description = "show the selected instances in restart order and restart nothing")
     private boolean dryRun;
 
-    /** Read by the shutdown hook as well. */
+    /** Also read by the shutdown hook. */
     private volatile RollingRestart rollingRestart;
 
     @Override
@@ -79,7 +82,10 @@
         selected.sort(Comparator.comparing(instance -> instance.host() + " " + instance.name()));
         if (!fleet.problems().isEmpty() || selected.isEmpty()) {
             report(fleet.problems());
-            err().println(selected.isEmpty() ? "no instance fits; nothing was begun" : "nothing was begun");
+            err().println(
+                            selected.isEmpty()
+                                    ? "no instance matches; no restart was started"
+                                    : "no restart was started");
             return 1;
         }
         if (dryRun) {
@@ -98,20 +104,20 @@
                 selected.stream().map(ReportedInstance::name).toList());
         Thread summaryAtInterrupt = new Thread(this::printSummary);
         Runtime.getRuntime().addShutdownHook(summaryAtInterrupt);
-        boolean isOrdered = restartAll(clients, selected.size());
+        boolean ordersAccepted = restartAll(clients, selected.size());
         Runtime.getRuntime().removeShutdownHook(summaryAtInterrupt);
         if (rollingRestart.phase() == RollingRestart.RolloutPhase.STOPPED) {
             err().println("stopped: " + rollingRestart.reason());
             err().flush();
         }
         printSummary();
-        return isOrdered && rollingRestart.phase() == RollingRestart.RolloutPhase.DONE ? 0 : 1;
+        return ordersAccepted && rollingRestart.phase() == RollingRestart.RolloutPhase.DONE ? 0 : 1;
     }
 
     private void checkOptions() {
         if (!filter.isGiven()) {
             throw new CommandLine.ParameterException(
-                    spec().commandLine(), "Which instances? Give names, --host, --label, --state or --all.");
+                    spec().commandLine(), "no instances selected: give names, --host, --label, --state or --all");
         }
         if (batchSize < 1
                 || maxUnavailablePercent < 0
@@ -121,11 +127,14 @@
                 || maxRejectionRatio < 1) {
             throw new CommandLine.ParameterException(
                     spec().commandLine(),
-                    "--batch and --warm-within are 1 or more, --most-away 0 to 100, --watch 0 or more, --worse 1 or more");
+                    "--batch and --warm-within must be 1 or more, --most-away 0 to 100, --watch 0 or more, --worse 1 or more");
         }
     }
 
-    /** Restarts batch after batch; false where an agent did not take an order, and nothing more is begun then. */
+    /**
+     * Restarts batch by batch until the rolling restart is over, or returns false once an agent does not accept an
+     * order.
+     */
     private boolean restartAll(List<AgentClient> clients, int total) throws InterruptedException {
         long startNanos = System.nanoTime();
         String printedReason = "";
@@ -167,7 +176,7 @@
     }
 
     private boolean orderRestart(AgentClient anyClient, List<ReportedInstance> instances, List<String> batch) {
-        // All of a batch are on one machine, and so with one agent.
+        // All instances of a batch run on one machine and have the same agent.
         String agent = instances.stream()
                 .filter(instance -> instance.name().equals(batch.get(0)))
                 .findFirst()
@@ -176,7 +185,7 @@
         AgentOrder order = new AgentOrder(UUID.randomUUID().toString(), OrderTracker.OrderVerb.RESTART, false, batch);
         AgentClient.AgentResponse response = anyClient.forAgent(agent).order(order);
         if (!response.isOk()) {
-            err().println("agent " + agent + ": " + response.failure() + "; stopped");
+            err().println("agent " + agent + ": " + response.failure() + "; the rolling restart is stopped");
             err().flush();
         }
         return response.isOk();
--- a/src/main/java/merlinlever/cli/fleet/ShowCommand.java
+++ b/src/main/java/merlinlever/cli/fleet/ShowCommand.java
@@ -4,7 +4,7 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Mixin;
 
-/** {@code fleet show}: everything that is known of the selected instances. */
+/** {@code fleet show}: shows all reported details of the selected instances. */
 @Command(
         name = "show",
         mixinStandardHelpOptions = true,
--- a/src/main/java/merlinlever/cli/fleet/StopCommand.java
+++ b/src/main/java/merlinlever/cli/fleet/StopCommand.java
@@ -6,7 +6,7 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
-/** {@code fleet stop}: with a drain, or at once after the operator has confirmed what is lost by it. */
+/** {@code fleet stop}: stops instances with a drain, or immediately once the operator confirms the loss of requests. */
 @Command(
         name = "stop",
         mixinStandardHelpOptions = true,
@@ -31,7 +31,7 @@
     }
 
     @Override
-    boolean confirmed(List<ReportedInstance> selected) {
+    boolean isConfirmed(List<ReportedInstance> selected) {
         if (!now) {
             return true;
         }
@@ -41,17 +41,17 @@
         long silentInstances = selected.stream()
                 .filter(instance -> instance.status().isNull() && instance.processId() != 0)
                 .count();
-        String unknown = silentInstances == 0 ? "" : "; of " + silentInstances + " instances it is not known";
-        out().println(lostRequests + " operations are in hand and would be lost" + unknown);
+        String unknown = silentInstances == 0 ? "" : "; unknown for " + silentInstances + " further instances";
+        out().println(lostRequests + " requests are in flight and would be lost" + unknown);
         out().flush();
         if (yes) {
             return true;
         }
         Console console = System.console();
         if (console == null) {
-            err().println("nobody can be asked here; say --yes");
+            err().println("no console for the confirmation; use --yes");
             return false;
         }
-        return "yes".equals(console.readLine("Stop them at once? Type yes: "));
+        return "yes".equals(console.readLine("Stop the instances immediately? Type yes: "));
     }
 }
--- a/src/main/java/merlinlever/cli/fleet/TextTable.java
+++ b/src/main/java/merlinlever/cli/fleet/TextTable.java
@@ -4,7 +4,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Rows of text in aligned columns. */
+/** A table of text with aligned columns. */
 final class TextTable {
 
     private static final String COLUMN_GAP = "  ";
@@ -15,7 +15,7 @@
         rows.add(List.of(headings));
     }
 
-    /** Adds a row of as many cells as there are headings. */
+    /** Adds a row with one cell for each heading. */
     void addRow(String... cells) {
         rows.add(List.of(cells));
     }
--- a/src/main/java/merlinlever/cli/fleet/WatchCommand.java
+++ b/src/main/java/merlinlever/cli/fleet/WatchCommand.java
@@ -6,7 +6,7 @@
 import picocli.CommandLine.Mixin;
 import picocli.CommandLine.Option;
 
-/** {@code fleet watch}: the list of instances, printed again every second. */
+/** {@code fleet watch}: prints the list of instances every second. */
 @Command(
         name = "watch",
         mixinStandardHelpOptions = true,
--- a/src/main/java/merlinlever/cli/fleet/package-info.java
+++ b/src/main/java/merlinlever/cli/fleet/package-info.java
@@ -1,2 +1,4 @@
-/** The commands {@code fleet} and {@code host}: instances, and the agents that keep them. Entry points are the two groups. */
+/**
+ * The command groups {@code fleet} and {@code host}, which control instances and the host agents that supervise them.
+ */
 package merlinlever.cli.fleet;
--- a/src/test/java/merlinlever/cli/fleet/FleetCommandsTest.java
+++ b/src/test/java/merlinlever/cli/fleet/FleetCommandsTest.java
@@ -27,8 +27,8 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * Forty real instances under four real agents, seen through the commands and audited by the process table: what is reported
- * has to be so, or to say that it is old.
+ * Runs the commands against four agent processes with forty instance processes and compares the reported states with
+ * the process table. Guards against reports of wrong states that are not marked as outdated.
  */
 class FleetCommandsTest {
 
@@ -43,7 +43,7 @@
     private final int[] apiPorts = new int[AGENTS];
     private final int[] membershipPorts = new int[AGENTS];
 
-    private void writeConfiguration(int agent, int manage) throws IOException {
+    private void writeConfiguration(int agent, int firstManagementPort) throws IOException {
         Files.writeString(folder.resolve("secret"), "a-secret-of-16-or-more");
         Files.writeString(folder.resolve("mode"), "0");
         Files.writeString(
@@ -72,12 +72,12 @@
                                 membershipPorts[1],
                                 agent,
                                 INSTANCES_PER_AGENT,
-                                manage,
+                                firstManagementPort,
                                 agent < 2 ? "west" : "east",
                                 Path.of(System.getProperty("java.home"), "bin", "java"),
                                 System.getProperty("java.class.path"),
                                 folder.resolve("mode"),
-                                manage));
+                                firstManagementPort));
     }
 
     private void launchAgent(int agent) throws IOException {
@@ -99,36 +99,39 @@
                 .start();
     }
 
-    /** The auditor's view: pid and name of each instance's process that is not stopped, and of those that are. */
+    /**
+     * Returns the pid of each instance's process from the process table; adds the names of those stopped by a
+     * signal.
+     */
     private Map<String, Long> processTable(Set<String> stopped) throws IOException {
         Map<String, Long> table = new TreeMap<>();
         try (var all = Files.list(Path.of("/proc"))) {
-            for (Path each : all.filter(path -> path.getFileName().toString().matches("[0-9]+"))
+            for (Path process : all.filter(path -> path.getFileName().toString().matches("[0-9]+"))
                     .toList()) {
                 try {
-                    String line = Files.readString(each.resolve("cmdline"), StandardCharsets.ISO_8859_1);
-                    String stat = Files.readString(each.resolve("stat"), StandardCharsets.ISO_8859_1);
+                    String line = Files.readString(process.resolve("cmdline"), StandardCharsets.ISO_8859_1);
+                    String stat = Files.readString(process.resolve("stat"), StandardCharsets.ISO_8859_1);
                     char state = stat.charAt(stat.lastIndexOf(')') + 2);
                     if (line.contains("FakeInstance")
                             && line.contains(folder.toString())
                             && state != 'Z'
                             && state != 'X') {
-                        String name = Files.readSymbolicLink(each.resolve("cwd"))
+                        String name = Files.readSymbolicLink(process.resolve("cwd"))
                                 .getFileName()
                                 .toString();
                         assertTrue(
                                 table.put(
                                                 name,
                                                 Long.parseLong(
-                                                        each.getFileName().toString()))
+                                                        process.getFileName().toString()))
                                         == null,
-                                name + " is there twice");
+                                name + " has two processes");
                         if (state == 'T') {
                             stopped.add(name);
                         }
                     }
                 } catch (IOException e) {
-                    // Gone meanwhile.
+                    // The process has ended meanwhile.
                 }
             }
         }
@@ -137,15 +140,15 @@
 
     private String output;
 
-    private int runFleetCommand(String... words) {
+    private int runFleetCommand(String... arguments) {
         List<String> args = new ArrayList<>(List.of(
                 "fleet",
-                words[0],
+                arguments[0],
                 "--agent",
-                "127.0.0.1:" + apiPorts[askedAgent],
+                "127.0.0.1:" + apiPorts[queriedAgent],
                 "--secret-file",
                 folder.resolve("secret").toString()));
-        args.addAll(Arrays.asList(words).subList(1, words.length));
+        args.addAll(Arrays.asList(arguments).subList(1, arguments.length));
         StringWriter out = new StringWriter();
         StringWriter err = new StringWriter();
         int status = Commands.start(new PrintWriter(out), new PrintWriter(err), args.toArray(new String[0]));
@@ -155,29 +158,32 @@
     }
 
     private String standardOutput;
-    private int askedAgent;
+    private int queriedAgent;
 
     private Map<String, JsonNode> listInstances() throws IOException {
         runFleetCommand("list", "--output", "json");
         Map<String, JsonNode> list = new TreeMap<>();
-        JSON.readTree(standardOutput).forEach(each -> list.put(each.path("name").asText(), each));
+        JSON.readTree(standardOutput)
+                .forEach(instance -> list.put(instance.path("name").asText(), instance));
         return list;
     }
 
-    private Map<String, JsonNode> awaitInstances(String what, long seconds, Predicate<Map<String, JsonNode>> holds)
-            throws Exception {
-        long end = System.nanoTime() + seconds * 1_000_000_000L;
+    private Map<String, JsonNode> awaitInstances(
+            String description, long seconds, Predicate<Map<String, JsonNode>> condition) throws Exception {
+        long deadline = System.nanoTime() + seconds * 1_000_000_000L;
         Map<String, JsonNode> list = listInstances();
-        while (!holds.test(list)) {
-            if (System.nanoTime() > end) {
+        while (!condition.test(list)) {
+            if (System.nanoTime() > deadline) {
                 StringBuilder lines = new StringBuilder();
-                list.values().forEach(each -> lines.append(each.path("name").asText())
-                        .append(' ')
-                        .append(each.path("state").asText())
-                        .append(' ')
-                        .append(each.path("why").asText())
-                        .append('\n'));
-                throw new AssertionError("not after " + seconds + " s: " + what + "\n" + lines + output);
+                list.values()
+                        .forEach(instance -> lines.append(instance.path("name").asText())
+                                .append(' ')
+                                .append(instance.path("state").asText())
+                                .append(' ')
+                                .append(instance.path("why").asText())
+                                .append('\n'));
+                throw new AssertionError(
+                        "condition not met after " + seconds + " s: " + description + "\n" + lines + output);
             }
             Thread.sleep(200);
             list = listInstances();
@@ -186,36 +192,36 @@
         return list;
     }
 
-    /** No state says what the process table says is not so. A moment of looking on either side is allowed for. */
+    /** Asserts that no reported state contradicts the process tables read before and after the report. */
     private void audit() throws Exception {
         Set<String> stoppedBefore = new HashSet<>();
         Map<String, Long> before = processTable(stoppedBefore);
-        Map<String, JsonNode> now = listInstances();
+        Map<String, JsonNode> reported = listInstances();
         Set<String> stoppedAfter = new HashSet<>();
         Map<String, Long> after = processTable(stoppedAfter);
-        for (JsonNode each : now.values()) {
-            String name = each.path("name").asText();
-            String state = each.path("state").asText();
-            boolean there = before.containsKey(name) && before.get(name).equals(after.get(name));
-            boolean gone = !before.containsKey(name) && !after.containsKey(name);
-            if (there && !state.equals("unreached")) {
+        for (JsonNode instance : reported.values()) {
+            String name = instance.path("name").asText();
+            String state = instance.path("state").asText();
+            boolean isRunning = before.containsKey(name) && before.get(name).equals(after.get(name));
+            boolean hasEnded = !before.containsKey(name) && !after.containsKey(name);
+            if (isRunning && !state.equals("unreached")) {
                 assertTrue(
                         (!state.equals("down") && !state.equals("given_up"))
-                                || (each.path("age_ms").isNull() && isYoung(before.get(name))),
-                        name + " is said to be " + state + " and its process " + before.get(name) + " is there");
+                                || (instance.path("age_ms").isNull() && isRecentlyStarted(before.get(name))),
+                        name + " is reported as " + state + " but its process " + before.get(name) + " runs");
             }
-            if (gone) {
-                // What ended within the last look of the agent may still be shown as it was, with its age.
+            if (hasEnded) {
+                // An instance that ended after the agent's last check may still be reported in its previous state.
                 assertTrue(
-                        !List.of("warm", "slow", "cold").contains(state) || justEnded.contains(name),
-                        name + " is said to be " + state + " and no process is there");
+                        !List.of("warm", "slow", "cold").contains(state) || recentlyEnded.contains(name),
+                        name + " is reported as " + state + " but has no process");
             }
         }
     }
 
-    private final Set<String> justEnded = new HashSet<>();
+    private final Set<String> recentlyEnded = new HashSet<>();
 
-    private static boolean isYoung(long pid) {
+    private static boolean isRecentlyStarted(long pid) {
         return ProcessHandle.of(pid)
                 .flatMap(handle -> handle.info().startInstant())
                 .map(at -> at.isAfter(java.time.Instant.now().minusSeconds(3)))
@@ -229,7 +235,7 @@
     private static boolean allHaveState(Map<String, JsonNode> list, String state) {
         return list.size() == AGENTS * INSTANCES_PER_AGENT
                 && list.values().stream()
-                        .allMatch(each -> each.path("state").asText().equals(state));
+                        .allMatch(instance -> instance.path("state").asText().equals(state));
     }
 
     private static String state(Map<String, JsonNode> list, String name) {
@@ -237,7 +243,7 @@
     }
 
     @AfterEach
-    void endProcesses() throws Exception {
+    void killProcesses() throws Exception {
         for (Process agent : agents) {
             if (agent != null) {
                 agent.destroyForcibly().waitFor(5, TimeUnit.SECONDS);
@@ -249,7 +255,7 @@
     }
 
     @Test
-    void reportedStatesAreTrueThroughKillsStopsDrainsAndTheLossOfAnAgent() throws Exception {
+    void reportedStatesMatchProcessesThroughKillsStopsDrainsAndAgentFailures() throws Exception {
         startAllAgents();
         killOneInstanceAndStopAnother();
         drainAndStartAZone();
@@ -259,7 +265,7 @@
         assertEquals(1, runFleetCommand("stop", "no-such-instance"));
         assertEquals(2, runFleetCommand("stop"));
         assertEquals(0, runFleetCommand("stop", "--all", "--now", "--yes", "--wait"), output);
-        assertTrue(output.contains(AGENTS * INSTANCES_PER_AGENT * 5 + " operations are in hand"), output);
+        assertTrue(output.contains(AGENTS * INSTANCES_PER_AGENT * 5 + " requests are in flight"), output);
         assertEquals(0, processTable(new HashSet<>()).size());
     }
 
@@ -268,72 +274,69 @@
             apiPorts[i] = PortAllocator.free();
             membershipPorts[i] = PortAllocator.free();
         }
-        int manage = PortAllocator.free(AGENTS * INSTANCES_PER_AGENT);
+        int firstManagementPort = PortAllocator.free(AGENTS * INSTANCES_PER_AGENT);
         for (int i = 0; i < AGENTS; i++) {
-            writeConfiguration(i, manage + i * INSTANCES_PER_AGENT);
+            writeConfiguration(i, firstManagementPort + i * INSTANCES_PER_AGENT);
             launchAgent(i);
         }
-        long end = System.nanoTime() + 20_000_000_000L;
-        while (runFleetCommand("list") != 0 && System.nanoTime() < end) {
+        long deadline = System.nanoTime() + 20_000_000_000L;
+        while (runFleetCommand("list") != 0 && System.nanoTime() < deadline) {
             Thread.sleep(200);
         }
-        // Any agent answers for all machines.
-        for (askedAgent = AGENTS - 1; askedAgent >= 0; askedAgent--) {
-            awaitInstances("all warm, asked agent " + askedAgent, 40, list -> allHaveState(list, "warm"));
+        // Every agent reports the instances of all machines.
+        for (queriedAgent = AGENTS - 1; queriedAgent >= 0; queriedAgent--) {
+            awaitInstances("all warm, queried agent " + queriedAgent, 40, list -> allHaveState(list, "warm"));
         }
-        askedAgent = 0;
+        queriedAgent = 0;
         assertEquals(AGENTS * INSTANCES_PER_AGENT, processTable(new HashSet<>()).size());
     }
 
     private void killOneInstanceAndStopAnother() throws Exception {
         Map<String, Long> before = processTable(new HashSet<>());
-        justEnded.add("t1-1");
+        recentlyEnded.add("t1-1");
         signal("KILL", before.get("t1-1"));
         signal("STOP", before.get("t2-2"));
-        awaitInstances("t2-2 not reached", 10, list -> state(list, "t2-2").equals("unreached"));
+        awaitInstances("t2-2 unreached", 10, list -> state(list, "t2-2").equals("unreached"));
         awaitInstances(
                 "t1-1 warm again",
                 15,
                 list -> state(list, "t1-1").equals("warm")
                         && list.get("t1-1").path("launches").asInt() == 2);
-        justEnded.clear();
+        recentlyEnded.clear();
         signal("CONT", before.get("t2-2"));
         awaitInstances("all warm", 10, list -> allHaveState(list, "warm"));
     }
 
-    /** By one agent, at two others. */
+    /** Sends the orders through one agent to two other agents. */
     private void drainAndStartAZone() throws Exception {
         assertEquals(0, runFleetCommand("drain", "--label", "zone=east", "--wait"), output);
         Map<String, JsonNode> drained = listInstances();
         drained.values()
-                .forEach(each -> assertEquals(
-                        each.path("labels").path("zone").asText().equals("east") ? "down" : "warm",
-                        each.path("state").asText()));
+                .forEach(instance -> assertEquals(
+                        instance.path("labels").path("zone").asText().equals("east") ? "down" : "warm",
+                        instance.path("state").asText()));
         assertEquals(2 * INSTANCES_PER_AGENT, processTable(new HashSet<>()).size());
         assertEquals(0, runFleetCommand("start", "--state", "down", "--wait"), output);
         awaitInstances("all warm", 20, list -> allHaveState(list, "warm"));
     }
 
-    /** Their instances are not reached since then, and run on; returns the processes of all. */
+    /** Checks that the instances of unreachable agents are unreached and continue to run; returns all processes. */
     private Map<String, Long> stopOneAgentAndKillAnother() throws Exception {
         Map<String, Long> running = processTable(new HashSet<>());
         signal("STOP", agents[3].pid());
         agents[2].destroyForcibly().waitFor();
         awaitInstances(
-                "two agents not reached",
+                "two agents unreached",
                 20,
                 list -> list.size() == AGENTS * INSTANCES_PER_AGENT
-                        && list.values().stream().allMatch(each -> each.path("state")
+                        && list.values().stream().allMatch(instance -> instance.path("state")
                                 .asText()
-                                .equals(each.path("host").asText().compareTo("m2") < 0 ? "warm" : "unreached")));
-        assertEquals(
-                1,
-                runFleetCommand("drain", "t3-1"),
-                "an order to an agent that cannot be reached is not taken for done");
+                                .equals(instance.path("host").asText().compareTo("m2") < 0 ? "warm" : "unreached")));
+        assertEquals(1, runFleetCommand("drain", "t3-1"), "an order to an unreachable agent fails");
         signal("CONT", agents[3].pid());
         launchAgent(2);
         awaitInstances("all warm", 30, list -> allHaveState(list, "warm"));
-        assertEquals(running, processTable(new HashSet<>()), "none was launched beside itself, none was lost");
+        assertEquals(running, processTable(new HashSet<>()), "no instance was launched twice or lost");
         return running;
     }
 
@@ -344,7 +347,7 @@
         return restarted;
     }
 
-    /** Three of them batch by batch; then a version that crashes, which stops behind its first batch. */
+    /** Restarts three instances batch by batch; then rolls out a crashing version, which stops at its first batch. */
     private void rollInstances(Map<String, Long> restarted) throws Exception {
         assertEquals(0, runFleetCommand("roll", "t0-1", "t0-2", "t3-1", "--watch", "1"), output);
         Map<String, Long> rolled = processTable(new HashSet<>());
--- a/src/test/java/merlinlever/cli/fleet/RecoverCommandTest.java
+++ b/src/test/java/merlinlever/cli/fleet/RecoverCommandTest.java
@@ -21,18 +21,18 @@
     private final StringWriter out = new StringWriter();
     private final StringWriter err = new StringWriter();
 
-    private int recover(String... more) {
+    private int recover(String... options) {
         out.getBuffer().setLength(0);
         err.getBuffer().setLength(0);
-        String[] words = new String[more.length + 2];
-        words[0] = "fleet";
-        words[1] = "recover";
-        System.arraycopy(more, 0, words, 2, more.length);
-        return Commands.start(new PrintWriter(out, true), new PrintWriter(err, true), words);
+        String[] arguments = new String[options.length + 2];
+        arguments[0] = "fleet";
+        arguments[1] = "recover";
+        System.arraycopy(options, 0, arguments, 2, options.length);
+        return Commands.start(new PrintWriter(out, true), new PrintWriter(err, true), arguments);
     }
 
     @Test
-    void everyFolderIsPrintedWithWhatIsDiscardedAndWhy() throws Exception {
+    void reportsKeptAndDiscardedStateOfEachFolderWithReasons() throws Exception {
         Path root = Files.createTempDirectory("merlinlever-recover");
         try {
             Path good = root.resolve("good");
@@ -54,31 +54,32 @@
                     out.toString().contains("  incarnation: kept, up to 64 may have been told, goes on at 65\n"),
                     out.toString());
             assertTrue(out.toString().contains("  capacity: aged, 12.5 operations, "), out.toString());
-            assertTrue(out.toString().contains("  instances: kept, 1 noted"), out.toString());
+            assertTrue(out.toString().contains("  instances: kept, 1 recorded;"), out.toString());
             assertEquals(1, recover("--state", good.toString(), "--owner", "b-2@127.0.0.1:2"));
             assertTrue(
                     out.toString()
                             .contains(
                                     "  keyed work: thrown away, it is that of b-1@127.0.0.1:1, not of b-2@127.0.0.1:2"),
                     out.toString());
-            Path spoilt = root.resolve("spoilt");
-            Files.createDirectories(spoilt);
-            Files.writeString(spoilt.resolve(RecoveryFile.FILE_NAME), "0000");
-            Path held = root.resolve("held");
-            try (FileStateDirectory folder = new FileStateDirectory(held)) {
+            Path corrupt = root.resolve("spoilt");
+            Files.createDirectories(corrupt);
+            Files.writeString(corrupt.resolve(RecoveryFile.FILE_NAME), "0000");
+            Path locked = root.resolve("held");
+            try (FileStateDirectory folder = new FileStateDirectory(locked)) {
                 assertEquals(List.of(), folder.fileNames());
                 assertEquals(
                         1,
                         recover(
                                 "--state",
-                                spoilt.toString(),
-                                held.toString(),
+                                corrupt.toString(),
+                                locked.toString(),
                                 root.resolve("none").toString()));
             }
             assertTrue(out.toString().contains("  incarnation: thrown away, spoilt: "), out.toString());
             assertTrue(
                     err.toString().contains("held: the state folder ")
-                            && err.toString().contains("a running process told at its start"),
+                            && err.toString()
+                                    .contains("a running process reported its recovered state when it started"),
                     err.toString());
             assertTrue(err.toString().contains("none: no such folder"), err.toString());
             assertEquals(2, recover());
