--- a/src/main/java/merlinlever/cli/fleet/HostAgentProcess.java
+++ b/src/main/java/merlinlever/cli/fleet/HostAgentProcess.java
@@ -163,7 +163,7 @@
 
     /** Runs the agent until a shutdown by SIGTERM has completed. */
     void run() {
-        ServiceRunner runner = ServiceRunner.handlingTermination(loop, this::startShutdown);
+        ServiceRunner runner = ServiceRunner.withShutdownHook(loop, this::startShutdown);
         LOG.info("listening address={}", SocketAddresses.format(serverAddress));
         runner.run(() -> {});
     }
--- a/src/main/java/merlinlever/fleet/experiments/ExperimentNode.java
+++ b/src/main/java/merlinlever/fleet/experiments/ExperimentNode.java
@@ -116,7 +116,7 @@
         result = ExperimentResult.decode(experiment, registers.chosen(experiment.key()));
         result.ifPresent(adoptedResult -> {
             splitting = false;
-            log.line("experiment-ended experiment=" + experiment.name() + " kind=" + adoptedResult.kind() + " arm="
+            log.info("experiment-ended experiment=" + experiment.name() + " kind=" + adoptedResult.kind() + " arm="
                     + experiment.arms().get(adoptedResult.arm()).name() + " reason=\"" + adoptedResult.reason() + "\"");
             if (restored) {
                 publishCounts(now, false);
