--- a/src/main/java/merlinlever/cli/BackendAssembly.java
+++ b/src/main/java/merlinlever/cli/BackendAssembly.java
@@ -14,8 +14,8 @@
 import merlinlever.controller.settings.ControllerSettings;
 
 /**
- * One backend with its links to the render farm agent, the records service and the edge nodes, all on one event loop and its
- * thread. Passes what the backend decides on to the link that carries it out.
+ * Assembles one backend with its links to the render farm agent, the records service and the edge nodes, all on one
+ * event loop. Forwards each decision of the backend to the link that carries the decision out.
  */
 final class BackendAssembly implements BackendDependencies {
 
@@ -28,11 +28,11 @@
     private EventLoop.Timer wakeUpTimer;
 
     /**
-     * Connects to the agent at once; the edge server does not listen yet.
+     * Starts to connect to the agent; the edge server does not listen before {@link EdgeServer#listen}.
      *
-     * @param settings of the controller
-     * @param recordsAddress null where there is no records service
-     * @param maxCalls calls to the records service in flight at once
+     * @param settings the controller settings
+     * @param recordsAddress address of the records service; null if there is none
+     * @param maxCalls maximum number of concurrent calls to the records service
      */
     BackendAssembly(
             EventLoop loop,
--- a/src/main/java/merlinlever/cli/Commands.java
+++ b/src/main/java/merlinlever/cli/Commands.java
@@ -14,9 +14,8 @@
 import picocli.CommandLine.Spec;
 
 /**
- * The root command, for everything except {@code serve} and {@code wirehost} without options, which {@link Main} starts
- * without this class. A command exits with 0 on success, 1 on failure or if a check found a difference, and 2 on wrong
- * usage.
+ * The root command. {@link Main} runs {@code serve} and {@code wirehost} without this class unless they have options.
+ * The exit status of a command is 0 on success, 1 on failure or if a check found a difference, and 2 on wrong usage.
  */
 @Command(
         name = "merlinlever",
@@ -39,7 +38,9 @@
     @Spec
     private CommandSpec spec;
 
-    /** {@code serve}, for its help text and when options are given; without any, {@link Main} runs it directly. */
+    /**
+     * Declares {@code serve} for the help text and for options; without options {@link Main} runs the command directly.
+     */
     @Command(
             name = "serve",
             mixinStandardHelpOptions = true,
@@ -51,7 +52,10 @@
         }
     }
 
-    /** {@code wirehost}, for its help text and when options are given; without any, {@link Main} runs it directly. */
+    /**
+     * Declares {@code wirehost} for the help text and for options; without options {@link Main} runs the command
+     * directly.
+     */
     @Command(
             name = "wirehost",
             mixinStandardHelpOptions = true,
@@ -65,15 +69,18 @@
 
     @Override
     public void run() {
-        throw new CommandLine.ParameterException(spec.commandLine(), "Which command?");
+        throw new CommandLine.ParameterException(spec.commandLine(), "Missing subcommand");
     }
 
-    /** Runs the command that the arguments name and returns its exit status. */
+    /** Runs the command given by the arguments and returns its exit status. */
     public static int start(String... arguments) {
         return execute(new CommandLine(new Commands()), arguments);
     }
 
-    /** Runs the command that the arguments name, with these streams instead of the console, and returns its exit status. */
+    /**
+     * Runs the command given by the arguments with the given streams in place of the console, and returns its exit
+     * status.
+     */
     public static int start(PrintWriter out, PrintWriter err, String... arguments) {
         CommandLine commandLine = new CommandLine(new Commands());
         commandLine.setOut(out);
--- a/src/main/java/merlinlever/cli/ConfigCommands.java
+++ b/src/main/java/merlinlever/cli/ConfigCommands.java
@@ -12,7 +12,7 @@
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
 
-/** The group of commands about configuration files: their schemas, and their validation without starting anything. */
+/** Commands that print the schemas of configuration files and validate files without starting a service. */
 @Command(
         name = "config",
         mixinStandardHelpOptions = true,
@@ -27,7 +27,7 @@
 
     @Override
     public void run() {
-        throw new CommandLine.ParameterException(spec.commandLine(), "Which command?");
+        throw new CommandLine.ParameterException(spec.commandLine(), "Missing subcommand");
     }
 
     @Command(
@@ -37,7 +37,7 @@
     int schema(@Parameters(paramLabel = "NAME", description = "schema: " + SCHEMA_NAMES) String name) {
         Optional<ConfigSchema> schema = ConfigSchema.named(name);
         if (schema.isEmpty()) {
-            return reportUnknown(name);
+            return reportUnknownSchema(name);
         }
         PrintWriter out = spec.commandLine().getOut();
         out.print(schema.get().text());
@@ -54,7 +54,7 @@
             @Parameters(paramLabel = "FILE", description = "configuration file") Path file) {
         Optional<ConfigSchema> schema = ConfigSchema.named(name);
         if (schema.isEmpty()) {
-            return reportUnknown(name);
+            return reportUnknownSchema(name);
         }
         try {
             ConfigFile.read(file, schema.get());
@@ -66,10 +66,10 @@
         }
     }
 
-    private int reportUnknown(String name) {
+    private int reportUnknownSchema(String name) {
         spec.commandLine()
                 .getErr()
-                .println("merlinlever: no schema " + name + "; there are " + ConfigSchema.allNames());
+                .println("merlinlever: unknown schema " + name + "; available: " + ConfigSchema.allNames());
         return 2;
     }
 }
--- a/src/main/java/merlinlever/cli/ConfigurationReloader.java
+++ b/src/main/java/merlinlever/cli/ConfigurationReloader.java
@@ -6,17 +6,18 @@
 import merlinlever.common.net.EventLoop;
 
 /**
- * Reads the configuration again on SIGHUP. A file that is unusable may be half written still, so it is read a few times more
- * before it is given up; until one reading is usable the configuration before stays in force. Runs on the event loop.
+ * Reloads the configuration on SIGHUP. An invalid file may be incompletely written, so the reloader reads the file a
+ * few more times before giving up. The previous configuration remains in force until the file is valid. Runs on the
+ * event loop.
  */
 final class ConfigurationReloader {
 
     private static final int MAX_ATTEMPTS = 5;
     private static final Duration RETRY_DELAY = Duration.ofMillis(100);
 
-    /** Receives a configuration that is valid. */
+    /** Applies a valid configuration. */
     interface Target {
-        /** Takes the configuration over, or none of it where a part that only the target checks is unusable. */
+        /** Applies the whole configuration, or nothing if the target finds an invalid value in it. */
         void apply(ServeConfiguration configuration) throws InvalidConfigurationException;
     }
 
@@ -24,8 +25,8 @@
     private final EventLoop loop;
     private final Log log;
     private final Target target;
-    /** The retry to come; null where none is. */
-    private EventLoop.Timer retry;
+    /** Null if no retry is pending. */
+    private EventLoop.Timer pendingRetry;
 
     ConfigurationReloader(Map<String, String> environment, EventLoop loop, Log log, Target target) {
         this.environment = environment;
@@ -34,27 +35,26 @@
         this.target = target;
     }
 
-    /** The prefix of messages that names the configuration file. */
+    /** Returns the path of the configuration file as a prefix for messages; empty if no file is configured. */
     static String filePrefix(Map<String, String> environment) {
         return environment.containsKey("GW_CONFIG") ? environment.get("GW_CONFIG") + ": " : "";
     }
 
-    /** Starts over with the first attempt; retries of an earlier signal are cancelled. */
+    /** Starts a new series of attempts; the pending retry of an earlier signal is cancelled. */
     void reload() {
         attempt(MAX_ATTEMPTS, "");
     }
 
-    /** @param loggedReason why the first of these attempts failed, empty for the first one itself */
+    /** @param loggedReason reason for which the first attempt failed; empty for the first attempt */
     private void attempt(int attemptsLeft, String loggedReason) {
-        if (retry != null) {
-            retry.cancel();
-            retry = null;
+        if (pendingRetry != null) {
+            pendingRetry.cancel();
+            pendingRetry = null;
         }
         try {
             target.apply(ServeConfiguration.read(environment));
         } catch (InvalidConfigurationException e) {
-            // One line for all attempts, and another only where the last one fails for another reason: the file is
-            // complete then.
+            // Logs the first failure, and the last one only if its reason differs: by then the file is complete.
             String reason = e.getMessage();
             boolean isLast = attemptsLeft <= 1;
             if (loggedReason.isEmpty() || (isLast && !loggedReason.equals(reason))) {
@@ -62,7 +62,7 @@
             }
             if (!isLast) {
                 String firstReason = loggedReason.isEmpty() ? reason : loggedReason;
-                retry = loop.schedule(RETRY_DELAY, () -> attempt(attemptsLeft - 1, firstReason));
+                pendingRetry = loop.schedule(RETRY_DELAY, () -> attempt(attemptsLeft - 1, firstReason));
             }
         }
     }
--- a/src/main/java/merlinlever/cli/ConfigurationValues.java
+++ b/src/main/java/merlinlever/cli/ConfigurationValues.java
@@ -7,8 +7,8 @@
 import java.util.Set;
 
 /**
- * The values of the JSON configuration of {@code serve}, by path, with the checks that each kind of value needs. Every check that
- * fails names the value and what is allowed, as {@code serve} loads no schema library that could do so.
+ * The values of the JSON configuration of {@code serve}, by path, with validating accessors for each type. Error
+ * messages contain the path and the allowed values, since {@code serve} loads no schema library that could report them.
  */
 final class ConfigurationValues {
 
@@ -24,7 +24,7 @@
         return valueByPath.containsKey(path);
     }
 
-    /** All paths that have a value, in the order of the file. */
+    /** Returns the paths of all values in the order of the file. */
     Set<String> paths() {
         return valueByPath.keySet();
     }
@@ -34,9 +34,9 @@
     }
 
     /**
-     * A number in Java's own form, also NaN and infinity.
+     * Parses a number in Java's syntax, which includes NaN and infinity.
      *
-     * @throws InvalidConfigurationException if the value is none
+     * @throws InvalidConfigurationException if the value is not a number
      */
     double number(String path, double defaultValue) throws InvalidConfigurationException {
         if (!has(path)) {
@@ -50,7 +50,7 @@
         }
     }
 
-    /** A number from the least to the greatest allowed one. */
+    /** Parses a number between {@code min} and {@code max}, both inclusive. */
     double numberBetween(String path, double defaultValue, double min, double max)
             throws InvalidConfigurationException {
         double number = number(path, defaultValue);
@@ -61,7 +61,7 @@
         return number;
     }
 
-    /** {@code ADDRESS:PORT}; port 0 stands for any free one. */
+    /** Parses {@code ADDRESS:PORT}; port 0 stands for any free port. */
     InetSocketAddress address(String path) throws InvalidConfigurationException {
         String text = valueByPath.get(path);
         int colon = text == null ? -1 : text.lastIndexOf(':');
@@ -72,12 +72,12 @@
         InetSocketAddress address =
                 new InetSocketAddress(text.substring(0, colon), Integer.parseInt(text.substring(colon + 1)));
         if (address.isUnresolved()) {
-            throw new InvalidConfigurationException("the configuration's " + path + " is not known: " + text);
+            throw new InvalidConfigurationException("the configuration's " + path + " cannot be resolved: " + text);
         }
         return address;
     }
 
-    /** The address of another program, which has to be one that can be connected to. */
+    /** Parses the address of another program, whose port must not be 0. */
     InetSocketAddress peerAddress(String path) throws InvalidConfigurationException {
         InetSocketAddress address = address(path);
         if (address.getPort() == 0) {
--- a/src/main/java/merlinlever/cli/FleetAssembly.java
+++ b/src/main/java/merlinlever/cli/FleetAssembly.java
@@ -28,8 +28,8 @@
 import merlinlever.fleet.view.net.ViewTransport;
 
 /**
- * What one backend decides and shares with the others of its fleet: leader election, the membership view, the replicated store and
- * fleet quotas. Loaded only where the configuration names {@code recovery.voters} or quotas. Runs on the event loop.
+ * Assembles the fleet components of one backend: leader election, the fleet view, the replicated store and fleet
+ * quotas. Loaded only if {@code recovery.voters} or quotas are configured. Runs on the event loop.
  */
 final class FleetAssembly implements QuotaConsumer {
 
@@ -57,9 +57,9 @@
         List<String> voters = List.of(values.text("recovery.voters", "").split(","));
         if (voters.contains("")) {
             throw new InvalidConfigurationException(
-                    "with budgets the configuration's recovery.voters names who may lead, the same everywhere");
+                    "the configuration's recovery.voters has to list the voters, the same on all backends");
         }
-        // Unique to this process: no other one of this backend began in the same millisecond with the same pid.
+        // Unique for this process: no other process of this backend starts in the same millisecond with the same PID.
         long incarnation = System.currentTimeMillis() << INCARNATION_TIME_SHIFT
                 ^ ProcessHandle.current().pid();
         Duration lease = configuredQuotas.isEmpty()
@@ -109,13 +109,16 @@
         return FleetQuotaParser.parse(values, name -> backend.priorityClassIndex(name) >= 0);
     }
 
-    /** Whether the view permits that requests with an idempotency key, and those that are not idempotent, are started. */
-    boolean mayStartKeyedRequests() {
+    /**
+     * Returns whether the view permits starting requests that are not idempotent, including those with an idempotency
+     * key.
+     */
+    boolean mayStartNonIdempotentRequests() {
         return view.fleetView().permission(loop.clock().uptime(), GuardedAction.START_NON_IDEMPOTENT_REQUEST)
                 == ActionPermissions.Permission.ALLOWED;
     }
 
-    /** Takes over the sizes of the quotas; nothing else may change while the process runs. */
+    /** Applies changed quota sizes; other changes require a restart. */
     void reload(ConfigurationValues values) throws InvalidConfigurationException {
         if (quotas.isPresent()) {
             quotas.get().updateQuotas(quotas(values));
@@ -124,7 +127,7 @@
 
     @Override
     public QuotaDemand demand(Duration now, FleetQuota quota) {
-        return backend.quotaDemand(sinceModuleStart(now), backend.priorityClassIndex(quota.limitedResource()));
+        return backend.quotaDemand(toControllerTime(now), backend.priorityClassIndex(quota.limitedResource()));
     }
 
     @Override
@@ -134,16 +137,16 @@
         QuotaGrant grant = new QuotaGrant(
                 amount,
                 quota.kind() == FleetQuota.QuotaKind.PER_SECOND,
-                sinceModuleStart(until),
+                toControllerTime(until),
                 limitsCallsInFlight ? Optional.of(quota.maxCallDuration()) : Optional.empty());
         backend.setQuota(backend.priorityClassIndex(quota.limitedResource()), grant);
     }
 
-    private Duration sinceModuleStart(Duration sinceProcessStart) {
-        return RecoveryAssembly.sinceModuleStart(loop, sinceProcessStart);
+    private Duration toControllerTime(Duration sinceProcessStart) {
+        return RecoveryAssembly.toControllerTime(loop, sinceProcessStart);
     }
 
-    /** Further members of the JSON object of the status page, each after a comma. */
+    /** Returns further members for the JSON object of the status page, each with a leading comma. */
     String statusJsonMembers() {
         return ",\"view\":" + view.json() + ",\"shared\":" + replication.statusJson()
                 + quotas.map(transport -> ",\"budgets\":" + transport.statusJson())
--- a/src/main/java/merlinlever/cli/GracefulShutdown.java
+++ b/src/main/java/merlinlever/cli/GracefulShutdown.java
@@ -9,17 +9,21 @@
 import merlinlever.common.net.EventLoop;
 
 /**
- * The end of one backend after SIGTERM: it drains, closes its listener once the drain grace is over, answers what is in flight,
- * half-closes connections that are idle still shortly before the stop, and stops the event loop. Runs on the event loop.
+ * Shuts one backend down after SIGTERM: drains the backend, closes the listener at the end of the drain grace period,
+ * waits for the responses to requests in flight, half-closes idle connections shortly before the stop time, and stops
+ * the event loop. Runs on the event loop.
  */
 final class GracefulShutdown {
 
     private static final Duration POLL_PERIOD = Duration.ofMillis(10);
-    /** Reserved before the stop for the responses of the last moment to be written. */
-    private static final Duration LAST_WRITES = Duration.ofMillis(150);
-    /** How long half-closed connections are read on, for requests that are on their way; less than the reserve above. */
-    private static final Duration HALF_CLOSED_READ = Duration.ofMillis(60);
-    /** How long the signal may take to reach the event loop; the grace period counts from the signal. */
+    /** Time reserved before the stop time for writing the last responses. */
+    private static final Duration WRITE_RESERVE = Duration.ofMillis(150);
+    /**
+     * Time for which half-closed connections are still read, for requests in transit; shorter than
+     * {@link #WRITE_RESERVE}.
+     */
+    private static final Duration HALF_CLOSED_READ_TIME = Duration.ofMillis(60);
+    /** Maximum time from the signal to its handling on the event loop; the grace period counts from the signal. */
     private static final Duration SIGNAL_DELAY = Duration.ofMillis(100);
 
     private final EventLoop loop;
@@ -32,47 +36,51 @@
     private boolean finished;
 
     /**
-     * Does nothing until it is started.
+     * Creates a shutdown that begins with {@link #start}.
      *
-     * @param stopAfter from the signal to the end of the process
-     * @param drainGrace how long new requests are accepted after the signal
+     * @param stopAfter time from the signal to the end of the process
+     * @param drainGrace time from the signal during which new requests are accepted
      */
     GracefulShutdown(EventLoop loop, BackendAssembly assembly, Duration stopAfter, Duration drainGrace, Log log) {
         this.loop = loop;
         this.backend = assembly.backend();
         this.edge = assembly.edge();
-        this.timeToStop = stopAfter.minus(LAST_WRITES);
+        this.timeToStop = stopAfter.minus(WRITE_RESERVE);
         this.drainGrace = drainGrace;
         this.log = log;
     }
 
-    /** Begins the drain. */
+    /** Starts the drain. */
     void start() {
         Duration now = loop.clock().now();
         backend.startDrain(now.minus(SIGNAL_DELAY), now.plus(timeToStop));
-        // Requests are still started within the grace period, and none after it.
-        Duration openFor = drainGrace.compareTo(timeToStop) < 0 ? drainGrace : timeToStop;
-        loop.schedule(openFor, () -> {
+        // New requests are started only within the grace period.
+        Duration listenTime = drainGrace.compareTo(timeToStop) < 0 ? drainGrace : timeToStop;
+        loop.schedule(listenTime, () -> {
             edge.close();
-            Duration lastMoment = loop.clock().uptime().plus(timeToStop.minus(openFor));
-            // Not in this turn of the loop: a connection accepted in it is not registered with the server yet.
-            loop.schedule(POLL_PERIOD, () -> loop.runNowAndEvery(POLL_PERIOD, () -> finishWhenAnswered(lastMoment)));
+            Duration halfCloseTime = loop.clock().uptime().plus(timeToStop.minus(listenTime));
+            // Starts in a later iteration of the loop: the server does not yet have a connection accepted in this one.
+            loop.schedule(POLL_PERIOD, () -> loop.runNowAndEvery(POLL_PERIOD, () -> finishWhenAnswered(halfCloseTime)));
         });
     }
 
-    /** Not before the last moment while a connection is open: what its client writes as the process ends would be lost. */
-    private void finishWhenAnswered(Duration lastMoment) {
+    /**
+     * Finishes once all responses are flushed. Waits until the half-close time while connections are open, since
+     * requests that clients write when the process ends would be lost.
+     */
+    private void finishWhenAnswered(Duration halfCloseTime) {
         if (backend.unansweredRequests() > 0 || !edge.hasFlushedAllResponses()) {
             return;
         }
         if (edge.hasNoConnections()) {
             finish();
-        } else if (!idleHalfClosed && loop.clock().uptime().compareTo(lastMoment) >= 0) {
-            // Ending the process with unread bytes would reset the connection and discard responses in transit.
+        } else if (!idleHalfClosed && loop.clock().uptime().compareTo(halfCloseTime) >= 0) {
+            // If the process ended with unread bytes, the connection would be reset and responses in transit discarded.
             idleHalfClosed = true;
-            log.write(LogEvent.info("idle-connections-half-closed").with("read_on_ms", HALF_CLOSED_READ.toMillis()));
+            log.write(
+                    LogEvent.info("idle-connections-half-closed").with("read_on_ms", HALF_CLOSED_READ_TIME.toMillis()));
             edge.closeIdleConnections();
-            loop.schedule(HALF_CLOSED_READ, this::finish);
+            loop.schedule(HALF_CLOSED_READ_TIME, this::finish);
         }
     }
 
--- a/src/main/java/merlinlever/cli/InvalidConfigurationException.java
+++ b/src/main/java/merlinlever/cli/InvalidConfigurationException.java
@@ -1,6 +1,9 @@
 package merlinlever.cli;
 
-/** A configuration that a backend cannot be served with; the message is one line for the operator at the console or in the log. */
+/**
+ * Thrown if a configuration of {@code serve} is unusable. The message is one line for the operator, on the console or
+ * in the log.
+ */
 final class InvalidConfigurationException extends Exception {
 
     private static final long serialVersionUID = 1;
--- a/src/main/java/merlinlever/cli/LibraryLauncher.java
+++ b/src/main/java/merlinlever/cli/LibraryLauncher.java
@@ -12,8 +12,9 @@
 import java.util.stream.Stream;
 
 /**
- * Runs the commands that need libraries in a class loader that has the libraries of the folder {@code lib} beside the program's jar.
- * Were they named in the manifest instead, each would be opened for {@code serve} as well and take one of its few file descriptors.
+ * Runs commands that need libraries in a class loader with the jars of the directory {@code lib} beside the program's
+ * jar. If the manifest listed these jars, the JVM would open each of them for {@code serve} too and use up its few file
+ * descriptors.
  */
 final class LibraryLauncher {
 
@@ -21,12 +22,12 @@
 
     private LibraryLauncher() {}
 
-    /** Runs what the arguments name and returns the exit status. */
+    /** Runs the command given by the arguments and returns its exit status. */
     static int run(String... arguments) throws IOException {
         Path program = programPath();
         Path libraries = program.resolveSibling("lib");
         if (!Files.isRegularFile(program) || !Files.isDirectory(libraries)) {
-            // Not started from the jar: the libraries are on the class path.
+            // The program was not started from its jar, so the class path contains the libraries.
             return Commands.start(arguments);
         }
         ClassLoader loader =
--- a/src/main/java/merlinlever/cli/MeasureCommands.java
+++ b/src/main/java/merlinlever/cli/MeasureCommands.java
@@ -24,12 +24,12 @@
         description = "Measure components of this program against baselines, on this machine only.")
 final class MeasureCommands implements Runnable {
 
-    private static final String DURATION = " Takes some minutes.";
+    private static final String DURATION_NOTE = " Takes some minutes.";
 
     @Spec
     private CommandSpec spec;
 
-    /** Where a measurement writes its results, and how large it is. */
+    /** Options of all measurements: the output directory and the size. */
     static final class MeasureOptions {
         @Option(
                 names = "--out",
@@ -44,13 +44,14 @@
 
     @Override
     public void run() {
-        throw new CommandLine.ParameterException(spec.commandLine(), "Which command?");
+        throw new CommandLine.ParameterException(spec.commandLine(), "Missing subcommand");
     }
 
     @Command(
             name = "dns",
             mixinStandardHelpOptions = true,
-            description = "DNS server: zone file parsing, lookups, updates, queries and following a fleet." + DURATION)
+            description =
+                    "DNS server: zone file parsing, lookups, updates, queries and following a fleet." + DURATION_NOTE)
     void dns(@Mixin MeasureOptions options) throws Exception {
         new DnsMeasurement(options.out, options.quick).run();
     }
@@ -58,8 +59,8 @@
     @Command(
             name = "budgets",
             mixinStandardHelpOptions = true,
-            description =
-                    "Fleet quotas: up to 1,000 simulated backends, and real backends under injected faults." + DURATION)
+            description = "Fleet quotas: up to 1,000 simulated backends, and real backends under injected faults."
+                    + DURATION_NOTE)
     void budgets(@Mixin MeasureOptions options) throws IOException, InterruptedException {
         new QuotaMeasurement(options.out, options.quick).run();
     }
@@ -69,7 +70,7 @@
             mixinStandardHelpOptions = true,
             description =
                     "Experiments with early stopping: false winners, requests needed, spread of the stop in simulated fleets."
-                            + DURATION)
+                            + DURATION_NOTE)
     void trials(@Mixin MeasureOptions options) throws IOException {
         new ExperimentMeasurement(options.out, options.quick).run();
     }
@@ -79,7 +80,7 @@
             mixinStandardHelpOptions = true,
             description =
                     "Routes to partner sites: merging of tables; in simulation, tightening of routes and loss of a downstream service."
-                            + DURATION)
+                            + DURATION_NOTE)
     void routes(@Mixin MeasureOptions options) throws IOException {
         new RoutesMeasurement(options.out, options.quick).run();
     }
@@ -87,8 +88,8 @@
     @Command(
             name = "shared",
             mixinStandardHelpOptions = true,
-            description =
-                    "Replicated state: up to 500 simulated backends, compared with sending the full state." + DURATION)
+            description = "Replicated state: up to 500 simulated backends, compared with sending the full state."
+                    + DURATION_NOTE)
     void shared(@Mixin MeasureOptions options) throws IOException {
         new ReplicationMeasurement(options.out, options.quick).run();
     }
@@ -96,7 +97,7 @@
     @Command(
             name = "view",
             mixinStandardHelpOptions = true,
-            description = "Fleet view: up to 1,000 simulated backends, compared with membership alone." + DURATION)
+            description = "Fleet view: up to 1,000 simulated backends, compared with membership alone." + DURATION_NOTE)
     void view(@Mixin MeasureOptions options) throws IOException {
         new ViewMeasurement(options.out, options.quick).run();
     }
@@ -104,7 +105,7 @@
     @Command(
             name = "recovery",
             mixinStandardHelpOptions = true,
-            description = "Recovery of backends from power losses, with and without persisted state." + DURATION)
+            description = "Recovery of backends from power losses, with and without persisted state." + DURATION_NOTE)
     void recovery(@Mixin MeasureOptions options) throws IOException, InterruptedException {
         new RecoveryMeasurement(options.out, options.quick).run();
     }
--- a/src/main/java/merlinlever/cli/RecoveryAssembly.java
+++ b/src/main/java/merlinlever/cli/RecoveryAssembly.java
@@ -24,14 +24,14 @@
 import merlinlever.policy.ControllerMetrics;
 
 /**
- * The recovery of one backend after a restart: persisted state on disk and membership with the other backends, and where it is
- * configured the rest of the fleet ({@link FleetAssembly}). Loaded only where the configuration has {@code recovery}; the users'
- * platform has neither. Runs on the event loop.
+ * Assembles the recovery of one backend after a restart: persisted state on disk, membership with the other backends
+ * and, if configured, the other fleet components ({@link FleetAssembly}). Loaded only if the configuration has
+ * {@code recovery}. Runs on the event loop.
  */
 final class RecoveryAssembly implements RecoveringService, RecoveryParticipation {
 
     private static final String PREFIX = "recovery.";
-    private static final List<String> KNOWN_NAMES = List.of(
+    private static final List<String> ALLOWED_NAMES = List.of(
             "state",
             "listen",
             "advertise",
@@ -50,7 +50,7 @@
     private final EventLoop loop;
     private final Backend backend;
     private final RecoveryCoordinator coordinator;
-    /** Empty until the fleet's parts are assembled, too: the coordinator calls back while it is constructed. */
+    /** Also empty during construction, when the coordinator already calls methods of this object. */
     private Optional<FleetAssembly> fleet = Optional.empty();
 
     RecoveryAssembly(ServeConfiguration configuration, EventLoop loop, Backend backend, Log log)
@@ -64,7 +64,7 @@
         String name = values.text("name", "");
         if (!name.matches("[!-~]{1,40}")) {
             throw new InvalidConfigurationException(
-                    "with recovery the configuration's name has 1 to 40 printable characters");
+                    "with recovery the configuration's name has to have 1 to 40 printable characters");
         }
         RecoverySettings settings = settings(values, configuration.settings());
         EventLog recoveryLog = log.withPrefix("recovery: ");
@@ -94,9 +94,9 @@
 
     private static void checkNames(ConfigurationValues values) throws InvalidConfigurationException {
         for (String path : values.paths()) {
-            if (path.startsWith(PREFIX) && !KNOWN_NAMES.contains(path.substring(PREFIX.length()))) {
-                throw new InvalidConfigurationException("the configuration's " + path + " is not known; recovery has "
-                        + String.join(", ", KNOWN_NAMES));
+            if (path.startsWith(PREFIX) && !ALLOWED_NAMES.contains(path.substring(PREFIX.length()))) {
+                throw new InvalidConfigurationException("the configuration's " + path
+                        + " is unknown; allowed in recovery: " + String.join(", ", ALLOWED_NAMES));
             }
         }
     }
@@ -109,7 +109,7 @@
             }
             if (MembershipTransport.parseAddress(seed) == null) {
                 throw new InvalidConfigurationException(
-                        "the configuration's recovery.seeds has '" + seed + "', which is no ADDRESS:PORT");
+                        "the configuration's recovery.seeds has '" + seed + "', which is not an ADDRESS:PORT");
             }
             seeds.add(seed);
         }
@@ -120,7 +120,7 @@
         String text = values.text(PREFIX + "advertise", null);
         if (text != null && MembershipTransport.parseAddress(text) == null) {
             throw new InvalidConfigurationException(
-                    "the configuration's recovery.advertise is no ADDRESS:PORT: " + text);
+                    "the configuration's recovery.advertise is not an ADDRESS:PORT: " + text);
         }
         return Optional.ofNullable(text);
     }
@@ -139,7 +139,7 @@
                 period(values, "mark-ms", defaults.reservationInterval()));
     }
 
-    /** The time in which a duplicate of a request with an idempotency key may come, the longest of all priority classes. */
+    /** Returns the longest idempotency window of the priority classes that are not idempotent. */
     private static Duration idempotencyWindow(ControllerSettings controllerSettings) {
         Duration longest = Duration.ZERO;
         for (PriorityClassSettings priorityClass : controllerSettings.priorityClasses()) {
@@ -155,7 +155,7 @@
         double ms = values.number(PREFIX + name, (double) defaultValue.toMillis());
         if (!(ms >= MIN_PERIOD_MS && ms <= MAX_PERIOD_MS)) {
             throw new InvalidConfigurationException(
-                    "the configuration's recovery." + name + " is to be from 10 to 600000");
+                    "the configuration's recovery." + name + " has to be from 10 to 600000");
         }
         return Duration.ofMillis((long) ms);
     }
@@ -166,7 +166,7 @@
             String secret = file == null ? "" : Files.readString(Path.of(file)).strip();
             if (secret.length() < MIN_SECRET_CHARACTERS) {
                 throw new InvalidConfigurationException(
-                        "the configuration's recovery.secret-file names no file with 16 characters or more");
+                        "the configuration's recovery.secret-file has to name a file with 16 characters or more");
             }
             return secret;
         } catch (IOException e) {
@@ -175,16 +175,17 @@
         }
     }
 
-    /** A time since the process started, on the clock whose origin the controller counts from. */
-    static Duration sinceModuleStart(EventLoop loop, Duration sinceProcessStart) {
+    /** Converts a time since process start to a time on the controller's clock. */
+    static Duration toControllerTime(EventLoop loop, Duration sinceProcessStart) {
         return loop.clock().now().plus(sinceProcessStart.minus(loop.clock().uptime()));
     }
 
     @Override
     public void admitNonIdempotent(Duration from, Duration to) {
-        boolean permitted = fleet.map(FleetAssembly::mayStartKeyedRequests).orElse(true);
+        boolean permitted =
+                fleet.map(FleetAssembly::mayStartNonIdempotentRequests).orElse(true);
         backend.permitNonIdempotentStarts(
-                sinceModuleStart(loop, from), sinceModuleStart(loop, permitted ? to : Duration.ZERO));
+                toControllerTime(loop, from), toControllerTime(loop, permitted ? to : Duration.ZERO));
     }
 
     @Override
--- a/src/main/java/merlinlever/cli/RecoveryParticipation.java
+++ b/src/main/java/merlinlever/cli/RecoveryParticipation.java
@@ -3,12 +3,12 @@
 import java.util.Optional;
 
 /**
- * What {@code serve} needs of the recovery after a restart, which only some installations configure. The implementation with
- * everything that belongs to it is loaded only where the configuration asks for it; elsewhere {@link #NONE} stands in.
+ * Interface of {@code serve} to the recovery after a restart, which is optional. The implementation and its
+ * dependencies are loaded only if recovery is configured; otherwise {@code serve} uses {@link #NONE}.
  */
 interface RecoveryParticipation {
 
-    /** Of a backend that keeps no state over a restart. */
+    /** Used by a backend that keeps no state across restarts. */
     RecoveryParticipation NONE = new RecoveryParticipation() {
         @Override
         public Optional<String> statusJson() {
@@ -22,12 +22,12 @@
         public void startShutdown() {}
     };
 
-    /** The state of the recovery as a JSON object, for the status page; empty where there is none. */
+    /** Returns the recovery state as a JSON object for the status page; empty if recovery is not configured. */
     Optional<String> statusJson();
 
-    /** Takes over what may change while the process runs: the fleet quotas. */
+    /** Applies the settings that may change while the process runs: the fleet quotas. */
     void reload(ConfigurationValues values) throws InvalidConfigurationException;
 
-    /** Tells the other members that this one leaves. */
+    /** Announces to the other members that this member leaves. */
     void startShutdown();
 }
--- a/src/main/java/merlinlever/cli/ServeCommand.java
+++ b/src/main/java/merlinlever/cli/ServeCommand.java
@@ -20,18 +20,19 @@
 import merlinlever.controller.settings.ControllerSettings;
 
 /**
- * The {@code serve} command: one real backend in one process. It reads the configuration, assembles the backend with its links to
- * the other programs, warms up, listens, and runs the event loop until a graceful shutdown has finished. SIGHUP has the
- * configuration reloaded ({@link ConfigurationReloader}), SIGTERM starts the shutdown ({@link GracefulShutdown}).
+ * The {@code serve} command, which runs one backend in one process. It reads the configuration, assembles the backend
+ * with its links to other programs, warms up, listens, and runs the event loop until a graceful shutdown has finished.
+ * SIGHUP reloads the configuration ({@link ConfigurationReloader}), SIGTERM starts the shutdown
+ * ({@link GracefulShutdown}).
  */
 public final class ServeCommand implements ProcessSignals.Subscriber {
 
     private static final Duration CLOCK_COMPARISON_PERIOD = Duration.ofSeconds(1);
-    /** This fraction of the file descriptors is for calls to the downstream service. */
+    /** One of this many file descriptors is available for a downstream call. */
     private static final int DESCRIPTORS_PER_CALL = 8;
 
     private static final int MIN_CALLS = 4;
-    /** File descriptors for neither edge connections nor calls: the other links, files of the runtime. */
+    /** File descriptors that neither edge connections nor calls use: those of the other links and of the JVM. */
     private static final int RESERVED_DESCRIPTORS = 24;
 
     private final ServeConfiguration configuration;
@@ -43,12 +44,15 @@
     private final RecoveryParticipation recovery;
     private final ConfigurationReloader reloader;
     private final GracefulShutdown shutdown;
-    /** Whether the service directory lists backends by what they report; elsewhere any report keeps one listed. */
+    /**
+     * Whether the service directory lists only backends that report good health; otherwise any report keeps a backend
+     * listed.
+     */
     private final boolean directoryFollowsReports;
 
     private final LogEvent warmUpReport;
 
-    /** Everything but the listening: no client may connect before it is certain who receives the signals. */
+    /** Prepares everything except the listener, which opens only after this command has subscribed to the signals. */
     private ServeCommand(Map<String, String> environment, Log log, long processStartNanos)
             throws InvalidConfigurationException {
         this.log = log;
@@ -75,9 +79,9 @@
                 new ManagementServer(loop, configuration.values().address("manage"), this::statusReport);
             }
         } catch (IOException e) {
-            throw new InvalidConfigurationException("cannot be started with: " + e.getMessage(), e);
+            throw new InvalidConfigurationException("the backend cannot be started: " + e.getMessage(), e);
         } catch (IllegalArgumentException | ArithmeticException e) {
-            throw new InvalidConfigurationException("cannot be served: " + e, e);
+            throw new InvalidConfigurationException("the backend cannot be assembled: " + e, e);
         }
         directoryFollowsReports = settings.deployment().endpointListFollowsHealth();
         reloader = new ConfigurationReloader(environment, loop, log, this::apply);
@@ -132,7 +136,7 @@
 
     /** Runs the command until its shutdown has finished, and returns its exit status. */
     static int main(Map<String, String> environment) {
-        // Before anything else: a SIGHUP that nobody handles ends the runtime.
+        // Installs the signal handlers first: a SIGHUP without a handler would terminate the JVM.
         return main(environment, ProcessSignals.ofProcess(), new Log(System.out, Instant::now), System.err);
     }
 
@@ -155,7 +159,7 @@
             console.println(line.replaceAll("\\p{Cntrl}", " "));
             return 1;
         } finally {
-            // A shutdown hook waits for the event loop, which runs no more.
+            // Releases the shutdown hook, which waits for the event loop to finish.
             signals.completeShutdown();
         }
     }
@@ -173,13 +177,13 @@
         });
     }
 
-    /** Applies new addresses of the other programs; all other changes wait for the next start. */
+    /** Applies new addresses of other programs and new quota sizes; all other changes require a restart. */
     private void apply(ServeConfiguration reloaded) throws InvalidConfigurationException {
         recovery.reload(reloaded.values());
         log.write(LogEvent.info("configuration-reloaded")
-                .with("agent", text(reloaded.agentAddress()))
-                .with("records", text(reloaded.recordsAddress()))
-                .with("lookup", text(reloaded.directoryAddress())));
+                .with("agent", format(reloaded.agentAddress()))
+                .with("records", format(reloaded.recordsAddress()))
+                .with("lookup", format(reloaded.directoryAddress())));
         if (!reloaded.rawSettings().equals(configuration.rawSettings())) {
             log.write(LogEvent.warn("changed-settings-ignored").with("until", "restart"));
         }
@@ -189,7 +193,7 @@
         sendHeartbeat();
     }
 
-    private static String text(InetSocketAddress address) {
+    private static String format(InetSocketAddress address) {
         return address == null ? "none" : SocketAddresses.format(address);
     }
 }
--- a/src/main/java/merlinlever/cli/ServeConfiguration.java
+++ b/src/main/java/merlinlever/cli/ServeConfiguration.java
@@ -20,19 +20,19 @@
 import merlinlever.controller.settings.SettingsValidator;
 
 /**
- * The configuration of one backend as it was read once, at the start or on SIGHUP, and found valid as a whole.
+ * The validated configuration of one backend, as read at the start or on SIGHUP.
  *
- * @param values everything in the file, by path
- * @param rawSettings the settings of the controller as they were given
- * @param settings the settings of the controller
- * @param agentAddress of the render farm agent
- * @param recordsAddress of the records service; null where the backend has none
- * @param directoryAddress of the service directory, which receives the heartbeats
- * @param stopAfter from SIGTERM to the end of the process
- * @param maxDescriptors file descriptors that the process may hold
- * @param seed of all random numbers
- * @param name of the backend, empty where none is given
- * @param warnings about unknown values and missing ones with their defaults, one log line each
+ * @param values all values of the file, by path
+ * @param rawSettings controller settings as given in the file
+ * @param settings parsed controller settings
+ * @param agentAddress address of the render farm agent
+ * @param recordsAddress address of the records service; null if the backend has none
+ * @param directoryAddress address of the service directory, which receives the heartbeats
+ * @param stopAfter time from SIGTERM to the end of the process
+ * @param maxDescriptors maximum number of open file descriptors of the process
+ * @param seed seed of all random number generators
+ * @param name name of the backend; empty if none is configured
+ * @param warnings log lines about unknown settings and about missing settings with their defaults
  */
 record ServeConfiguration(
         ConfigurationValues values,
@@ -47,25 +47,25 @@
         String name,
         List<String> warnings) {
 
-    /** A longer file is rejected, as the one thread that serves requests reads it. */
+    /** Limits the time for which reading the file blocks the thread that serves requests. */
     private static final int MAX_FILE_BYTES = 1 << 20;
 
     private static final double DEFAULT_STOP_MS = 3000;
     private static final double MAX_STOP_MS = 86_400_000;
     private static final int DEFAULT_DESCRIPTORS = 1024;
     private static final double MAX_DESCRIPTORS = 1e9;
-    /** Fewer leave no room for the links, a few calls and a few edge connections beside the runtime's own files. */
+    /** Sufficient for the links, a few calls, a few edge connections and the files of the JVM. */
     static final int MIN_DESCRIPTORS = 32;
 
     /**
-     * Reads the file that the environment variable {@code GW_CONFIG} names.
+     * Reads the file named by the environment variable {@code GW_CONFIG}.
      *
-     * @throws InvalidConfigurationException if the file cannot be read or any value in it is unusable
+     * @throws InvalidConfigurationException if the file cannot be read or contains an invalid value
      */
     static ServeConfiguration read(Map<String, String> environment) throws InvalidConfigurationException {
         String file = environment.get("GW_CONFIG");
         if (file == null) {
-            throw new InvalidConfigurationException("GW_CONFIG names no configuration");
+            throw new InvalidConfigurationException("GW_CONFIG is not set; it has to name the configuration file");
         }
         try (InputStream in = Files.newInputStream(Path.of(file))) {
             byte[] bytes = in.readNBytes(MAX_FILE_BYTES + 1);
@@ -76,18 +76,18 @@
                     .newDecoder()
                     .decode(ByteBuffer.wrap(bytes))
                     .toString();
-            return of(Json.object(text), environment);
+            return parse(Json.object(text), environment);
         } catch (CharacterCodingException e) {
             throw new InvalidConfigurationException("is not UTF-8", e);
         } catch (IOException e) {
             throw new InvalidConfigurationException(
                     "cannot be read: " + e.getClass().getSimpleName(), e);
         } catch (MalformedJsonException e) {
-            throw new InvalidConfigurationException("is no JSON object: " + e.getMessage(), e);
+            throw new InvalidConfigurationException("is not a JSON object: " + e.getMessage(), e);
         }
     }
 
-    private static ServeConfiguration of(Map<?, ?> json, Map<String, String> environment)
+    private static ServeConfiguration parse(Map<?, ?> json, Map<String, String> environment)
             throws InvalidConfigurationException {
         ConfigurationValues values = new ConfigurationValues(Json.flat(json));
         RawSettings rawSettings =
@@ -134,10 +134,10 @@
             defaulted.add("limits.sockets (" + DEFAULT_DESCRIPTORS + ")");
         }
         if (!hasSeed) {
-            defaulted.add("a seed of 1 to 16 hex digits (one made of the name)");
+            defaulted.add("a seed of 1 to 16 hex digits (derived from the name)");
         }
         if (name.isEmpty()) {
-            defaulted.add("name (reports name nobody)");
+            defaulted.add("name (reports to the service directory have none)");
         }
         List<String> warnings = new ArrayList<>();
         if (!unknownSettings.isEmpty()) {
--- a/src/main/java/merlinlever/cli/WarmUp.java
+++ b/src/main/java/merlinlever/cli/WarmUp.java
@@ -21,17 +21,22 @@
 import merlinlever.controller.settings.PriorityClassSettings;
 
 /**
- * Serves synthetic requests before the first real one, with a backend, an event loop and stub peers of its own and connections in
- * memory, so that the runtime has loaded and compiled the code that serves: on part of a core the first seconds of cold code would
- * fail many of the requests that arrive in them. The backend that is served later shares no state with it.
+ * Serves synthetic requests before the first real one, so that the JVM has loaded and compiled the code by then.
+ * Otherwise many requests of the first seconds would fail on a fraction of a core. The warm-up has its own backend,
+ * event loop, stub peers and in-memory connections, and shares no state with the real backend.
  */
 final class WarmUp {
 
     private static final Duration MAX_TIME = Duration.ofMillis(2500);
-    /** From the start of the runtime; with what the first responses take the program is ready in twice that. */
-    private static final Duration READY_AFTER = Duration.ofSeconds(5);
-    /** How much longer than the program up to here its runtime took before it, at the most: a little under once. */
-    private static final int RUNTIME_TO_PROGRAM_RATIO = 1;
+    /**
+     * Maximum time from the start of the JVM to the end of the warm-up; half of the time allowed for the whole startup.
+     */
+    private static final Duration MAX_STARTUP_TIME = Duration.ofSeconds(5);
+    /**
+     * Upper bound on the JVM's startup time before {@code main}, as a multiple of the program's time before the
+     * warm-up.
+     */
+    private static final int JVM_TO_PROGRAM_RATIO = 1;
 
     private static final int MAX_REQUESTS = 1500;
     private static final int CLIENTS = 6;
@@ -46,7 +51,7 @@
     private final EventLoop loop;
     private int requests;
 
-    /** The other end of a connection in memory, which does not mind how the connection ends. */
+    /** Peer of an in-memory connection; ignores the end of the connection. */
     private abstract static class StubPeer implements Connection.InMemoryPeer {
         private Connection connection;
 
@@ -63,7 +68,7 @@
         public void onClosed(CloseReason reason) {}
     }
 
-    /** Runs each request at once, with one downstream call where there is a records service. */
+    /** Completes each run at once, after one downstream call if there is a records service. */
     private static final class StubAgent extends StubPeer {
         private final LineDecoder lines = new LineDecoder(MAX_QUEUED_BYTES);
         private final boolean makesCalls;
@@ -75,10 +80,10 @@
 
         @Override
         public void onReceived(ByteBuffer in) {
-            lines.decode(in, this::command);
+            lines.decode(in, this::handleCommand);
         }
 
-        private void command(String line) {
+        private void handleCommand(String line) {
             Map<?, ?> command;
             try {
                 command = Json.object(line);
@@ -107,7 +112,7 @@
         }
     }
 
-    /** Answers each call at once. */
+    /** Replies to each call at once. */
     private static final class StubRecordsService extends StubPeer {
         private static final String LINE_END = "\r\n";
 
@@ -128,11 +133,11 @@
         }
     }
 
-    /** Sends one request after the other, through the priority classes in turn. */
+    /** Sends one request at a time, cycling through the priority classes. */
     private final class StubEdgeClient extends StubPeer {
         @Override
         public void onReceived(ByteBuffer in) {
-            // Responses arrive whole, and a client has one request in flight.
+            // Each response arrives in one piece, and a client has one request in flight.
             in.position(in.limit());
             sendRequest();
         }
@@ -160,8 +165,8 @@
                 MonotonicClock.system(),
                 failure -> {},
                 address -> address.equals(AGENT) ? new StubAgent(hasRecordsService) : new StubRecordsService());
-        Log discarded = new Log(new PrintStream(OutputStream.nullOutputStream()), Instant::now);
-        BackendAssembly assembly = new BackendAssembly(loop, settings, 1, AGENT, RECORDS, MAX_CALLS, discarded);
+        Log discardingLog = new Log(new PrintStream(OutputStream.nullOutputStream()), Instant::now);
+        BackendAssembly assembly = new BackendAssembly(loop, settings, 1, AGENT, RECORDS, MAX_CALLS, discardingLog);
         for (int i = 0; i < CLIENTS; i++) {
             StubEdgeClient client = new StubEdgeClient();
             assembly.edge()
@@ -171,27 +176,29 @@
     }
 
     /**
-     * How long the warm-up may take. What the program did up to here is the same work on any machine, so where it took long the
-     * processor is slow, and the warm-up is shortened or left out for the program to be ready in time.
+     * Returns the time limit of the warm-up. A long startup indicates a slow processor, since the work before the
+     * warm-up is the same on all machines; the limit is then shorter, or zero, so that the program is ready in time.
      *
-     * @param timeSoFar since the program started
+     * @param elapsed time since the program started
      */
-    static Duration timeLimit(Duration timeSoFar) {
-        Duration left = READY_AFTER.minus(timeSoFar.multipliedBy(1 + RUNTIME_TO_PROGRAM_RATIO));
+    static Duration timeLimit(Duration elapsed) {
+        Duration left = MAX_STARTUP_TIME.minus(elapsed.multipliedBy(1 + JVM_TO_PROGRAM_RATIO));
         if (left.isNegative()) {
             return Duration.ZERO;
         }
         return left.compareTo(MAX_TIME) < 0 ? left : MAX_TIME;
     }
 
-    /** Serves synthetic requests until the limit of time or of their number, and returns how many were sent. */
+    /**
+     * Serves synthetic requests up to the time limit or their maximum number, and returns the number of requests sent.
+     */
     static int run(ControllerSettings settings, boolean hasRecordsService, Duration timeLimit) {
         if (timeLimit.isZero()) {
             return 0;
         }
         long startNanos = System.nanoTime();
         WarmUp warmUp = new WarmUp(settings, hasRecordsService);
-        // The construction loads most of the classes: on a slow processor that alone takes a second or more.
+        // The constructor loads most of the classes, which takes a second or more on a slow processor.
         warmUp.loop.schedule(timeLimit.minusNanos(System.nanoTime() - startNanos), warmUp.loop::stop);
         warmUp.loop.run();
         return Math.min(warmUp.requests, MAX_REQUESTS);
--- a/src/main/java/merlinlever/cli/package-info.java
+++ b/src/main/java/merlinlever/cli/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The command line: picks the subcommand, and assembles and runs {@code serve}, the real backend. The commands that need libraries
- * are in the packages below and are never loaded by {@code serve} and {@code wirehost}.
+ * The command line: selects the subcommand, and assembles and runs {@code serve}, the real backend. The commands that
+ * need libraries are in subpackages, which {@code serve} and {@code wirehost} never load.
  */
 package merlinlever.cli;
--- a/src/main/java/merlinlever/cli/service/LoggingSetup.java
+++ b/src/main/java/merlinlever/cli/service/LoggingSetup.java
@@ -10,21 +10,24 @@
 import ch.qos.logback.core.encoder.Encoder;
 import org.slf4j.LoggerFactory;
 
-/** Sets up the log of the long-running commands other than {@code serve}: on standard output, as text or as one JSON object a line. */
+/**
+ * Configures the log of the long-running commands other than {@code serve}: standard output, as text or as one JSON
+ * object per line.
+ */
 public final class LoggingSetup {
 
-    /** The two forms of a log. The constants are the values of the option {@code --log}. */
+    /** Log format. The names of the constants are the values of the option {@code --log}. */
     public enum LogFormat {
-        /** Time, level and message on a line. */
+        /** One line per event with time, level and message. */
         text,
-        /** One JSON object on a line. */
+        /** One JSON object per line. */
         json
     }
 
     private LoggingSetup() {}
 
     /** Replaces the logging configuration of the whole process. */
-    public static void start(LogFormat format) {
+    public static void configure(LogFormat format) {
         LoggerContext context = (LoggerContext) LoggerFactory.getILoggerFactory();
         context.reset();
         Encoder<ILoggingEvent> encoder = format == LogFormat.json ? jsonEncoder() : textEncoder();
--- a/src/main/java/merlinlever/cli/service/ServiceCommand.java
+++ b/src/main/java/merlinlever/cli/service/ServiceCommand.java
@@ -9,7 +9,7 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Spec;
 
-/** A command that reads a configuration file and runs until SIGTERM. Its exit status is 1 where it cannot start. */
+/** A command that reads a configuration file and runs until SIGTERM. Its exit status is 1 if it cannot start. */
 public abstract class ServiceCommand implements Callable<Integer> {
 
     @Spec
@@ -26,19 +26,19 @@
     @Option(names = "--log", paramLabel = "FORM", description = "log format: text or json (default: text)")
     private LoggingSetup.LogFormat logFormat = LoggingSetup.LogFormat.text;
 
-    /** What the configuration file is validated against. */
+    /** Returns the schema that the configuration file has to match. */
     protected abstract ConfigSchema schema();
 
     /**
      * Runs the service until SIGTERM.
      *
-     * @throws InvalidConfigFileException if it cannot start with the configuration
+     * @throws InvalidConfigFileException if the service cannot start with the configuration
      */
     protected abstract void run(ConfigFile config) throws InvalidConfigFileException;
 
     @Override
     public final Integer call() {
-        LoggingSetup.start(logFormat);
+        LoggingSetup.configure(logFormat);
         try {
             run(ConfigFile.read(file, schema()));
             return 0;
--- a/src/main/java/merlinlever/cli/service/ServiceRunner.java
+++ b/src/main/java/merlinlever/cli/service/ServiceRunner.java
@@ -4,8 +4,8 @@
 import merlinlever.common.net.EventLoop;
 
 /**
- * Runs the event loop of a service on the calling thread. On SIGTERM, and wherever else the runtime begins to end, the shutdown is
- * started on the loop, and the runtime's end waits until the loop has stopped.
+ * Runs the event loop of a service on the calling thread. On SIGTERM or any other exit of the JVM, a shutdown hook
+ * starts the service's shutdown on the loop and waits until the loop has stopped.
  */
 public final class ServiceRunner {
 
@@ -17,9 +17,9 @@
     }
 
     /**
-     * Handles the termination of the process from here on.
+     * Registers the shutdown hook.
      *
-     * @param startShutdown runs on the loop, which it has to stop sooner or later
+     * @param startShutdown runs on the loop and has to stop the loop eventually
      */
     public static ServiceRunner withShutdownHook(EventLoop loop, Runnable startShutdown) {
         ServiceRunner runner = new ServiceRunner(loop);
@@ -38,7 +38,7 @@
         }
     }
 
-    /** Runs the loop until it is stopped, and then {@code cleanUp}, before the process may end. */
+    /** Runs the loop until it stops, and then {@code cleanUp}; the shutdown hook waits for both. */
     public void run(Runnable cleanUp) {
         try {
             loop.run();
--- a/src/main/java/merlinlever/cli/service/Slf4jEventLog.java
+++ b/src/main/java/merlinlever/cli/service/Slf4jEventLog.java
@@ -4,12 +4,12 @@
 import merlinlever.common.log.LogEvent;
 import org.slf4j.Logger;
 
-/** Writes events to an SLF4J logger, for the commands that run with libraries. Thread-safe. */
+/** Writes events to an SLF4J logger. Thread-safe. */
 public final class Slf4jEventLog implements EventLog {
 
     private final Logger logger;
 
-    /** Writes to that logger. */
+    /** Creates an event log that writes to the logger. */
     public Slf4jEventLog(Logger logger) {
         this.logger = logger;
     }
--- a/src/main/java/merlinlever/cli/service/package-info.java
+++ b/src/main/java/merlinlever/cli/service/package-info.java
@@ -1,5 +1,4 @@
 /**
- * What every long-running command of the libraries shares: its options, its logging, its event loop and its shutdown on
- * SIGTERM.
+ * Shared parts of the long-running commands that use libraries: options, logging, event loop and shutdown on SIGTERM.
  */
 package merlinlever.cli.service;
--- a/src/test/java/merlinlever/cli/ServeConfigurationTest.java
+++ b/src/test/java/merlinlever/cli/ServeConfigurationTest.java
@@ -102,7 +102,7 @@
         assertRejected(with("127.0.0.1:2", "127.0.0.1:70000"), "lookup is 127.0.0.1:70000", "ADDRESS:PORT");
         assertRejected(with("\"listen\":\"127.0.0.1:0\",", ""), "listen is missing");
         assertRejected("{\"a\":\"" + "x".repeat(1 << 20) + "\"}", "longer than");
-        assertRejected(GOOD.substring(0, 300), "no JSON object");
+        assertRejected(GOOD.substring(0, 300), "is not a JSON object");
     }
 
     /** Against a failure that is not told in one line: bytes that are no text, a folder in the file's place. */
--- a/src/test/java/merlinlever/cli/StartAndStopTest.java
+++ b/src/test/java/merlinlever/cli/StartAndStopTest.java
@@ -268,7 +268,7 @@
                 lines.get(0)
                         .contains(configFile + ": settings: family-info.n-cores is \"0\"; allowed: a number above 0"),
                 lines.get(0));
-        assertTrue(lines.get(1).contains("no JSON object"), lines.get(1));
+        assertTrue(lines.get(1).contains("is not a JSON object"), lines.get(1));
         // The old one stayed: the link is the one that it named.
         Socket edge = send(httpRequest("look", "", ""));
         sendOutcome(1, awaitCommand("launch"), "OK", new byte[] {7});
