--- a/src/main/java/merlinlever/cli/FleetQuotaParser.java
+++ b/src/main/java/merlinlever/cli/FleetQuotaParser.java
@@ -54,7 +54,7 @@
         Map<String, Integer> weights = weights(prefix + "weights.");
         String resource = values.text(prefix + "of", CALLS_RESOURCE);
         if (!name.matches("[a-z0-9-]{1,20}")) {
-            throw invalid(prefix + "name is '" + name + "'; allowed: 1 to 20 of a-z, 0-9 and -");
+            throw invalid(prefix + "name has to have 1 to 20 characters of a-z, 0-9 and -, but is " + name);
         }
         if (!kind.equals("second") && !kind.equals("at-once")) {
             throw invalid(prefix + "per is '" + kind + "'; allowed: second, at-once");
@@ -66,7 +66,7 @@
             throw invalid(prefix + "drift has to be from 0 to " + MAX_CLOCK_DRIFT);
         }
         if (!resource.equals(CALLS_RESOURCE) && !isPriorityClass.test(resource)) {
-            throw invalid(prefix + "of is '" + resource + "'; allowed: calls or the name of a tariff");
+            throw invalid(prefix + "of has to be calls or the name of a tariff, but is " + resource);
         }
         return new FleetQuota(
                 name,
--- a/src/test/java/merlinlever/cli/CommandsTest.java
+++ b/src/test/java/merlinlever/cli/CommandsTest.java
@@ -17,9 +17,9 @@
 
     @Test
     void helpExistsOnEveryLevel() {
-        for (String[] at :
+        for (String[] arguments :
                 new String[][] {{"--help"}, {"zone", "--help"}, {"config", "schema", "--help"}, {"serve", "--help"}}) {
-            assertEquals(0, Commands.start(at));
+            assertEquals(0, Commands.start(arguments));
         }
         assertEquals(0, Commands.start("config", "schema", "zone-serve"));
     }
--- a/src/test/java/merlinlever/cli/FileDescriptorLimitTest.java
+++ b/src/test/java/merlinlever/cli/FileDescriptorLimitTest.java
@@ -16,11 +16,11 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** The whole program under the system's own limit of descriptors, which idle and silent clients fill. */
+/** Runs the program under an operating system limit on file descriptors, which idle and silent clients use up. */
 class FileDescriptorLimitTest extends ServeProcessFixture {
 
     private static final int CLIENTS = 50;
-    private final List<Socket> held = new ArrayList<>();
+    private final List<Socket> heldSockets = new ArrayList<>();
     private int limit = 40;
 
     FileDescriptorLimitTest() throws IOException {}
@@ -44,8 +44,8 @@
     }
 
     /**
-     * Clients that ask once and rest, clients that say nothing, half messages and answered ones that stay: the next check
-     * and the next operation are answered, the agent's link comes back, calls and reports leave, and nobody is reset.
+     * While idle, silent and slow clients hold connections, health checks and requests are answered, the agent link is
+     * restored, downstream calls and heartbeats are sent, and no connection is reset.
      */
     @Test
     void allLinksWorkWhileClientsFillTheDescriptors() throws IOException {
@@ -54,26 +54,27 @@
         for (int i = 0; i < CLIENTS; i++) {
             switch (i % 4) {
                 case 0 -> {
-                    held.add(send("GET /status/live HTTP/1.1\r\n\r\n"));
-                    assertEquals(200, readAnswer(held.get(i)).status());
+                    heldSockets.add(send("GET /status/live HTTP/1.1\r\n\r\n"));
+                    assertEquals(200, readResponse(heldSockets.get(i)).status());
                 }
-                case 1 -> held.add(send(""));
-                case 2 -> held.add(send("POST "));
+                case 1 -> heldSockets.add(send(""));
+                case 2 -> heldSockets.add(send("POST "));
                 default -> {
-                    held.add(send("nonsense\r\n\r\n"));
-                    assertEquals(400, readAnswer(held.get(i)).status());
+                    heldSockets.add(send("nonsense\r\n\r\n"));
+                    assertEquals(400, readResponse(heldSockets.get(i)).status());
                 }
             }
         }
-        long from = System.nanoTime();
-        assertEquals(200, readAnswer(send("GET /status/live HTTP/1.1\r\n\r\n")).status());
-        long took = (System.nanoTime() - from) / 1_000_000;
-        assertTrue(took < 3000, took + " ms");
-        // The link to the agent is made anew, a call leaves, and a report too.
+        long startNanos = System.nanoTime();
+        assertEquals(
+                200, readResponse(send("GET /status/live HTTP/1.1\r\n\r\n")).status());
+        long elapsedMs = (System.nanoTime() - startNanos) / 1_000_000;
+        assertTrue(elapsedMs < 3000, elapsedMs + " ms");
+        // The backend reconnects to the agent, makes a downstream call and sends a heartbeat.
         agentLink.close();
         acceptAgentLink(0);
         sendToBackend("{\"cmd\":\"greeting\",\"result\":\"WARM\",\"elapsed_ms\":70000}");
-        // Caught up, so that no launch is in doubt and sent twice.
+        // Lets the backend catch up, so that no launch is in doubt and repeated.
         Map<?, ?> sample;
         do {
             sample = awaitCommand("sample");
@@ -89,43 +90,46 @@
                 .write((launch.get("req") + " DONE 1\r\na\r\n").getBytes(StandardCharsets.US_ASCII));
         assertEquals("YQ==", awaitCommand("deliver").get("payload"));
         sendOutcome(2, launch, "OK", new byte[] {7});
-        assertArrayEquals(new byte[] {7}, readAnswer(edge).body());
+        assertArrayEquals(new byte[] {7}, readResponse(edge).body());
         directorySocket.receive(new DatagramPacket(new byte[100], 100));
-        try (var open = Files.list(Path.of("/proc/" + program.pid() + "/fd"))) {
-            long count = open.count();
+        try (var descriptors = Files.list(Path.of("/proc/" + program.pid() + "/fd"))) {
+            long count = descriptors.count();
             assertTrue(count <= 40, count + " descriptors");
         }
-        for (Socket each : held) {
-            // A good end, or still open: never a reset.
-            each.setSoTimeout(1);
+        for (Socket socket : heldSockets) {
+            // The connection is closed in order or still open; a reset fails the test.
+            socket.setSoTimeout(1);
             try {
-                assertTrue(each.getInputStream().read() < 0);
+                assertTrue(socket.getInputStream().read() < 0);
             } catch (SocketTimeoutException e) {
-                // It is open still.
+                // The connection is still open.
             }
         }
     }
 
-    /** Accepting fails before the table is full, as the system gives out fewer: those that rest make room, none is reset. */
+    /**
+     * If the system limit makes accept fail below the configured maximum, idle connections are closed and none is
+     * reset.
+     */
     @Test
     void failedAcceptClosesIdleConnections() throws IOException {
         limit = 22;
         startAndLinkAgent();
         sendGreeting();
         for (int i = 0; i < CLIENTS; i++) {
-            held.add(send("GET /status/live HTTP/1.1\r\n\r\n"));
-            assertEquals(200, readAnswer(held.get(i)).status());
+            heldSockets.add(send("GET /status/live HTTP/1.1\r\n\r\n"));
+            assertEquals(200, readResponse(heldSockets.get(i)).status());
         }
-        try (var open = Files.list(Path.of("/proc/" + program.pid() + "/fd"))) {
-            long count = open.count();
-            assertTrue(count >= limit - 4, "only " + count + " descriptors: accepting has not failed");
+        try (var descriptors = Files.list(Path.of("/proc/" + program.pid() + "/fd"))) {
+            long count = descriptors.count();
+            assertTrue(count >= limit - 4, "only " + count + " descriptors are open: accept has not failed");
         }
-        for (Socket each : held) {
-            each.setSoTimeout(1);
+        for (Socket socket : heldSockets) {
+            socket.setSoTimeout(1);
             try {
-                assertTrue(each.getInputStream().read() < 0);
+                assertTrue(socket.getInputStream().read() < 0);
             } catch (SocketTimeoutException e) {
-                // It is open still.
+                // The connection is still open.
             }
         }
     }
--- a/src/test/java/merlinlever/cli/GracefulShutdownEndTest.java
+++ b/src/test/java/merlinlever/cli/GracefulShutdownEndTest.java
@@ -11,7 +11,7 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
 
-/** The last moment of a drain, for clients that rest until the backend ends. */
+/** The end of a drain while clients keep idle connections. */
 class GracefulShutdownEndTest extends ServeProcessFixture {
 
     private static final int STOP_MS = 1000;
@@ -27,55 +27,54 @@
     }
 
     /**
-     * A request that is unread as the process would end: held still over its last moment, the process has both before it
-     * when it goes on, the bytes and its end. It must not end over what is unread, as that resets the connection.
+     * A request that is unread at the stop time must not lead to a connection reset. The process is paused until after
+     * the stop time, so that on resuming it has both unread bytes and an overdue exit.
      */
     @Test
-    void requestUnreadAtTheLastMomentGetsAnAnswerOrOrderlyCloseAndNoReset() throws IOException, InterruptedException {
+    void requestUnreadAtStopTimeIsAnsweredOrClosedWithoutReset() throws IOException, InterruptedException {
         start(configuration().replace("\"stop_ms\":8000", "\"stop_ms\":" + STOP_MS));
         String line = program.inputReader().readLine();
         port = Integer.parseInt(line.substring(line.lastIndexOf(':') + 1));
         acceptAgentLink(0);
         sendGreeting();
-        Socket[] resting = new Socket[6];
-        for (int i = 0; i < resting.length; i++) {
-            resting[i] = send("GET /status/live HTTP/1.1\r\n\r\n");
-            assertEquals(200, readAnswer(resting[i]).status());
+        Socket[] idleSockets = new Socket[6];
+        for (int i = 0; i < idleSockets.length; i++) {
+            idleSockets[i] = send("GET /status/live HTTP/1.1\r\n\r\n");
+            assertEquals(200, readResponse(idleSockets[i]).status());
         }
         signal("TERM");
-        long notice = System.nanoTime();
-        // Bad from the notice on: it has been heard.
+        long signalNanos = System.nanoTime();
+        // Waits until the drain has started: the health check fails from then on.
         int status = 200;
         while (status != 503) {
-            status = readAnswer(send(resting[0], "GET /status/live HTTP/1.1\r\n\r\n"))
+            status = readResponse(send(idleSockets[0], "GET /status/live HTTP/1.1\r\n\r\n"))
                     .status();
         }
         signal("STOP");
-        Socket silent = resting[resting.length - 1];
-        for (Socket each : resting) {
-            if (each != silent) {
-                send(each, httpRequest("look", "", ""));
+        Socket silentSocket = idleSockets[idleSockets.length - 1];
+        for (Socket socket : idleSockets) {
+            if (socket != silentSocket) {
+                send(socket, httpRequest("look", "", ""));
             }
         }
-        // Over its last moment, wherever in its time it was held.
-        Thread.sleep(Math.max(0, STOP_MS - (System.nanoTime() - notice) / 1_000_000));
+        // Keeps the process paused until after its stop time.
+        Thread.sleep(Math.max(0, STOP_MS - (System.nanoTime() - signalNanos) / 1_000_000));
         signal("CONT");
-        for (Socket each : resting) {
-            InputStream in = each.getInputStream();
-            // A reset fails here.
-            byte[] got = in.readAllBytes();
-            if (got.length > 0) {
-                assertEquals("HTTP/1.1 503", new String(got, 0, 12, StandardCharsets.US_ASCII));
+        for (Socket socket : idleSockets) {
+            InputStream in = socket.getInputStream();
+            // A connection reset throws an exception here.
+            byte[] received = in.readAllBytes();
+            if (received.length > 0) {
+                assertEquals("HTTP/1.1 503", new String(received, 0, 12, StandardCharsets.US_ASCII));
             }
-            each.close();
+            socket.close();
         }
         assertTrue(program.waitFor(10, TimeUnit.SECONDS));
         assertEquals(143, program.exitValue());
-        // What the half-close does on the sockets is EdgeClosingTest's; here it comes before the end, for those that
-        // rest still.
+        // Verifies only that the half-close precedes the exit; EdgeCloseRaceTest covers the effect on the sockets.
         List<String> log = program.inputReader()
                 .lines()
-                .map(each -> each.replaceFirst(".* INFO ", ""))
+                .map(entry -> entry.replaceFirst(".* INFO ", ""))
                 .toList();
         assertEquals(
                 List.of("idle-connections-half-closed read_on_ms=60", "shutdown-finished"),
--- a/src/test/java/merlinlever/cli/SignalsTest.java
+++ b/src/test/java/merlinlever/cli/ProcessSignalsTest.java
@@ -11,8 +11,8 @@
 import merlinlever.common.net.ProcessSignals;
 import org.junit.jupiter.api.Test;
 
-/** Signals that come before, while and after somebody receives them, without a process. */
-class SignalsTest {
+/** Signals before, during and after a subscription. */
+class ProcessSignalsTest {
 
     private final ProcessSignals signals = new ProcessSignals();
     private final List<String> received = new CopyOnWriteArrayList<>();
@@ -41,12 +41,14 @@
 
     private static void assertEnds(Thread thread) throws InterruptedException {
         thread.join(TIMEOUT_MS);
-        assertFalse(thread.isAlive(), "it waits for nobody");
+        assertFalse(thread.isAlive(), "the call returns without waiting");
     }
 
-    /** Against a SIGHUP that is lost where it comes while the start still reads and rehearses; twice is as good as once. */
+    /**
+     * Guards against a SIGHUP that is lost during the start; several of them before the subscription cause one reload.
+     */
     @Test
-    void hangUpBeforeThereIsASubscriberIsPassedOnOnce() {
+    void hangupsBeforeSubscriptionAreDeliveredOnce() {
         signals.hangup();
         signals.hangup();
         assertTrue(signals.subscribe(subscriber));
@@ -56,38 +58,43 @@
         assertEquals(List.of("hang up", "hang up", "hang up"), received);
     }
 
-    /** Against a shutdown hook that waits for a loop that never runs, and against listening after it. */
+    /**
+     * Guards against a shutdown hook that waits for a loop that never runs, and against listening after the
+     * termination.
+     */
     @Test
-    void terminationBeforeThereIsASubscriberWaitsForNobody() throws InterruptedException {
+    void terminationBeforeSubscriptionReturnsAtOnce() throws InterruptedException {
         signals.hangup();
         assertEnds(startThread(signals::terminate));
         assertFalse(signals.subscribe(subscriber));
         assertEquals(List.of(), received);
     }
 
-    /** Against a hook that waits where the start has failed by itself: the exit with status 1 runs it too. */
+    /** Guards against a shutdown hook that waits after a failed start, whose exit with status 1 runs the hook too. */
     @Test
-    void terminationAfterTheEndWaitsForNobody() throws InterruptedException {
+    void terminationAfterShutdownReturnsAtOnce() throws InterruptedException {
         assertTrue(signals.subscribe(subscriber));
         signals.completeShutdown();
         assertEnds(startThread(signals::terminate));
-        assertEquals(List.of(), received, "nobody is there to be told");
+        assertEquals(List.of(), received, "the subscriber is not called after the shutdown");
     }
 
-    /** Against an end before all is answered, and against a SIGHUP that is held up by the wait of the termination. */
+    /**
+     * Guards against an exit before all requests are answered, and against a SIGHUP blocked by a waiting termination.
+     */
     @Test
-    void terminationWaitsForTheSubscriberAndDelaysNoHangUp() throws InterruptedException {
+    void terminationWaitsForShutdownAndDoesNotBlockHangup() throws InterruptedException {
         assertTrue(signals.subscribe(subscriber));
-        Thread first = startThread(signals::terminate);
+        Thread firstTermination = startThread(signals::terminate);
         assertTrue(terminateReceived.await(TIMEOUT_MS, TimeUnit.MILLISECONDS));
-        Thread second = startThread(signals::terminate);
-        // It gets in between only while the termination waits: so nobody has returned yet.
+        Thread secondTermination = startThread(signals::terminate);
+        // The hangup acquires the monitor only while the termination waits, so the termination has not returned yet.
         assertEnds(startThread(signals::hangup));
-        assertTrue(first.isAlive());
+        assertTrue(firstTermination.isAlive());
         assertTrue(received.contains("hang up"));
         signals.completeShutdown();
-        assertEnds(first);
-        assertEnds(second);
+        assertEnds(firstTermination);
+        assertEnds(secondTermination);
         assertEquals("terminate", received.get(0));
     }
 }
--- a/src/test/java/merlinlever/cli/RunLineTest.java
+++ b/src/test/java/merlinlever/cli/RunLineTest.java
@@ -41,9 +41,9 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * The `run` line of the deploy file, as the standing fleet test starts it: one process that is the JVM itself, that starts
- * no other program and loads none of the parts meant for other installations (fleet, zones, faults, YAML, the command line's
- * libraries). The bench refuses child programs and fork; this is our own proof of that, without the bench.
+ * Runs {@code serve} as the {@code run} line of the deploy file does: in a single JVM process that starts no other
+ * process and loads no class of the fleet, DNS and fault injection commands or of their libraries. The bench rejects
+ * child processes; this test detects them without the bench.
  */
 class RunLineTest {
 
@@ -69,7 +69,7 @@
             FleetCommands.class,
             ZoneCommands.class);
 
-    /** Classes of this package that {@code serve} must not load where its configuration has no recovery. */
+    /** Classes of this package that {@code serve} must not load unless recovery is configured. */
     private static final List<Class<?>> FOREIGN_CLASSES = List.of(RecoveryAssembly.class, FleetAssembly.class);
 
     private static final List<String> FOREIGN_LIBRARIES = List.of(
@@ -90,10 +90,10 @@
         for (Class<?> type : FOREIGN_SUBSYSTEMS) {
             String name = type.getPackageName();
             int subsystemEnd = (name + ".").indexOf('.', "merlinlever.".length());
-            // Only some packages of the commands and of the common layer are foreign.
-            boolean single =
+            // Only some subpackages of the commands and of the common layer are foreign.
+            boolean isSubpackageOnly =
                     name.startsWith(Main.class.getPackageName() + ".") || name.startsWith("merlinlever.common.");
-            prefixes.add((single ? name : name.substring(0, subsystemEnd)) + ".");
+            prefixes.add((isSubpackageOnly ? name : name.substring(0, subsystemEnd)) + ".");
         }
         return prefixes;
     }
@@ -109,77 +109,82 @@
     }
 
     @Test
-    void runLineIsOneJavaProcessThatServes() throws IOException {
-        List<String> words = Arrays.asList(runLine().trim().split("\\s+"));
-        assertEquals("exec", words.get(0), "the shell is replaced, not kept as a parent");
-        assertEquals("java", words.get(1));
-        assertEquals(List.of("-jar", "target/merlinlever.jar", "serve"), words.subList(words.size() - 3, words.size()));
+    void runLineReplacesTheShellByOneJvm() throws IOException {
+        List<String> arguments = Arrays.asList(runLine().trim().split("\\s+"));
+        assertEquals("exec", arguments.get(0), "the JVM replaces the shell");
+        assertEquals("java", arguments.get(1));
+        assertEquals(
+                List.of("-jar", "target/merlinlever.jar", "serve"),
+                arguments.subList(arguments.size() - 3, arguments.size()));
         assertFalse(
-                runLine().contains("&") || runLine().contains("|") || runLine().contains(";"), "one command alone");
+                runLine().contains("&") || runLine().contains("|") || runLine().contains(";"), "a single command");
     }
 
     @Test
-    void servingWithTheRunLinesFlagsStartsNoProgramAndLoadsNothingOfTheFleet() throws Exception {
-        List<String> words = Arrays.asList(runLine().trim().split("\\s+"));
-        Path classes = Files.createTempFile("merlinlever-classes", ".log");
-        Path file = Files.createTempFile("merlinlever", ".json");
+    void serveWithFlagsOfRunLineStartsNoProcessAndLoadsNoForeignClass() throws Exception {
+        List<String> arguments = Arrays.asList(runLine().trim().split("\\s+"));
+        Path classLog = Files.createTempFile("merlinlever-classes", ".log");
+        Path configFile = Files.createTempFile("merlinlever", ".json");
         List<String> command = new ArrayList<>();
         command.add(Path.of(System.getProperty("java.home"), "bin", "java").toString());
-        command.addAll(words.subList(2, words.indexOf("-jar")));
-        // The jar is made after the tests; its manifest names no class path, so the classes folder loads the same.
+        command.addAll(arguments.subList(2, arguments.indexOf("-jar")));
+        // The jar is built after the tests; its manifest has no class path, so target/classes loads the same classes.
         command.addAll(List.of(
-                "-Xlog:class+load=info:file=" + classes, "-cp", "target/classes", "merlinlever.cli.Main", "serve"));
-        try (ServerSocket agents = new ServerSocket(0, 50, LOOPBACK);
-                DatagramSocket directory = new DatagramSocket(0, LOOPBACK)) {
-            agents.setSoTimeout(20_000);
+                "-Xlog:class+load=info:file=" + classLog, "-cp", "target/classes", "merlinlever.cli.Main", "serve"));
+        try (ServerSocket agentListener = new ServerSocket(0, 50, LOOPBACK);
+                DatagramSocket directorySocket = new DatagramSocket(0, LOOPBACK)) {
+            agentListener.setSoTimeout(20_000);
             Files.writeString(
-                    file,
+                    configFile,
                     "{\"name\":\"n1\",\"listen\":\"127.0.0.1:0\",\"agent\":\"127.0.0.1:"
-                            + agents.getLocalPort() + "\",\"lookup\":\"127.0.0.1:" + directory.getLocalPort()
+                            + agentListener.getLocalPort() + "\",\"lookup\":\"127.0.0.1:"
+                            + directorySocket.getLocalPort()
                             + "\",\"seed\":\"5e1f30d27a5be964\",\"stop_ms\":2000,\"limits\":{\"sockets\":40},\"settings\":{"
                             + "\"family-info\":{\"n-cores\":1,\"memory-kb\":60000,\"gauges\":[\"runnable\"],\"halt\":\"drop\"},"
                             + "\"invariants\":{\"drain-grace\":100,\"overload-factor\":8},\"services\":[{\"name\":\"look\","
                             + "\"semantics\":\"repeatable\",\"aim\":20000,\"hard-limit\":40000}]}}");
             ProcessBuilder builder = new ProcessBuilder(command).redirectErrorStream(true);
-            builder.environment().put("GW_CONFIG", file.toString());
+            builder.environment().put("GW_CONFIG", configFile.toString());
             Process program = builder.start();
             try {
                 BufferedReader out =
                         new BufferedReader(new InputStreamReader(program.getInputStream(), StandardCharsets.UTF_8));
                 String listening = out.readLine();
                 assertTrue(
-                        listening != null && listening.matches(".*:[0-9]+$"), "it says where it listens: " + listening);
+                        listening != null && listening.matches(".*:[0-9]+$"),
+                        "first log line with the listening address: " + listening);
                 int port = Integer.parseInt(listening.substring(listening.lastIndexOf(':') + 1));
-                try (Socket agent = agents.accept();
+                try (Socket agent = agentListener.accept();
                         Socket edge = new Socket(LOOPBACK, port)) {
                     edge.getOutputStream()
                             .write("GET /health HTTP/1.1\r\nHost: api\r\n\r\n".getBytes(StandardCharsets.US_ASCII));
                     edge.setSoTimeout(20_000);
-                    assertTrue(agent.isConnected(), "it links to its render farm agent");
-                    assertTrue(edge.getInputStream().read() >= 0, "an edge node is answered");
-                    assertEquals(0, program.toHandle().descendants().count(), "no program started beside it");
+                    assertTrue(agent.isConnected(), "the backend connects to the agent");
+                    assertTrue(edge.getInputStream().read() >= 0, "an edge node receives a response");
+                    assertEquals(0, program.toHandle().descendants().count(), "no child process");
                     program.destroy();
-                    assertTrue(program.waitFor(20, TimeUnit.SECONDS), "it ends after SIGTERM");
+                    assertTrue(program.waitFor(20, TimeUnit.SECONDS), "the process exits after SIGTERM");
                 }
             } finally {
                 program.destroyForcibly().waitFor();
             }
             assertTrue(
-                    Files.readString(classes).contains(Backend.class.getName()), "the log of loaded classes is read");
-            assertEquals(List.of(), foreignClasses(classes), "classes that serve must not load");
+                    Files.readString(classLog).contains(Backend.class.getName()),
+                    "the log contains the loaded classes");
+            assertEquals(List.of(), foreignClasses(classLog), "classes that serve must not load");
         } finally {
-            Files.deleteIfExists(file);
-            Files.deleteIfExists(classes);
+            Files.deleteIfExists(configFile);
+            Files.deleteIfExists(classLog);
         }
     }
 
-    /** The classes in the runtime's log of loaded ones that serve must not load. */
+    /** Returns the loaded classes, by the JVM's class loading log, that {@code serve} must not load. */
     private static List<String> foreignClasses(Path log) throws IOException {
         List<String> foreign = foreignPrefixes();
         List<String> loaded = new ArrayList<>();
         for (String line : Files.readAllLines(log)) {
-            int at = line.indexOf("] ");
-            String name = line.substring(at + 2).split(" ")[0];
+            int separator = line.indexOf("] ");
+            String name = line.substring(separator + 2).split(" ")[0];
             if (foreign.stream().anyMatch(name::startsWith)) {
                 loaded.add(name);
             }
--- a/src/test/java/merlinlever/cli/ServeCommandTest.java
+++ b/src/test/java/merlinlever/cli/ServeCommandTest.java
@@ -16,7 +16,7 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
 
-/** What the whole program does on sockets. */
+/** End-to-end tests of {@code serve} over sockets. */
 class ServeCommandTest extends ServeProcessFixture {
 
     ServeCommandTest() throws IOException {}
@@ -52,18 +52,20 @@
         assertArrayEquals(new byte[] {'\r', '\n'}, Base64.getDecoder().decode((String) deliver.get("payload")));
         sendOutcome(2, launch, "OK", bytes);
         sendOutcome(2, launch, "ERROR", new byte[0]);
-        HttpAnswer first = readAnswer(edge);
-        assertEquals(200, first.status());
-        assertArrayEquals(bytes, first.body());
-        HttpAnswer repeat = readAnswer(send(httpRequest("buy", token, new String(bytes, StandardCharsets.ISO_8859_1))));
-        assertEquals(200, repeat.status());
-        assertArrayEquals(bytes, repeat.body());
-        // The connection goes on; the next that reaches the agent is the next operation, not the repeat.
+        HttpResponse original = readResponse(edge);
+        assertEquals(200, original.status());
+        assertArrayEquals(bytes, original.body());
+        HttpResponse duplicate =
+                readResponse(send(httpRequest("buy", token, new String(bytes, StandardCharsets.ISO_8859_1))));
+        assertEquals(200, duplicate.status());
+        assertArrayEquals(bytes, duplicate.body());
+        // The connection stays usable, and the duplicate has not reached the agent: the next launch is the next
+        // request.
         send(edge, httpRequest("look", "", ""));
         Map<?, ?> next = awaitCommand("launch");
         assertEquals("look", next.get("method"));
         sendOutcome(3, next, "ERROR", new byte[0]);
-        assertEquals(500, readAnswer(edge).status());
+        assertEquals(500, readResponse(edge).status());
         DatagramPacket report = new DatagramPacket(new byte[100], 100);
         directorySocket.receive(report);
         assertEquals("PULSE n3 open", new String(report.getData(), 0, report.getLength(), StandardCharsets.UTF_8));
@@ -72,15 +74,17 @@
     @Test
     void requestsAreRejectedAndChecksFailUntilTheAgentIsUp() throws IOException {
         startAndLinkAgent();
-        assertEquals(503, readAnswer(send(httpRequest("look", "", ""))).status());
-        assertEquals(503, readAnswer(send("GET /status/live HTTP/1.1\r\n\r\n")).status());
+        assertEquals(503, readResponse(send(httpRequest("look", "", ""))).status());
+        assertEquals(
+                503, readResponse(send("GET /status/live HTTP/1.1\r\n\r\n")).status());
         sendGreeting();
-        assertEquals(200, readAnswer(send("GET /status/live HTTP/1.1\r\n\r\n")).status());
-        for (String how : new String[] {"OK", "ERROR"}) {
+        assertEquals(
+                200, readResponse(send("GET /status/live HTTP/1.1\r\n\r\n")).status());
+        for (String result : new String[] {"OK", "ERROR"}) {
             Socket check = send("GET /status/live?real=1 HTTP/1.1\r\n\r\n");
             sendToBackend("{\"cmd\":\"exercised\",\"token\":\""
-                    + awaitCommand("exercise").get("token") + "\",\"result\":\"" + how + "\"}");
-            assertEquals(how.equals("OK") ? 200 : 503, readAnswer(check).status());
+                    + awaitCommand("exercise").get("token") + "\",\"result\":\"" + result + "\"}");
+            assertEquals(result.equals("OK") ? 200 : 503, readResponse(check).status());
         }
     }
 
@@ -89,7 +93,7 @@
         startAndLinkAgent();
         sendGreeting();
         String good = httpRequest("look", "", "");
-        String[][] bad = {
+        String[][] invalidRequests = {
             {"404", good.replace("/svc/look", "/svc/other")},
             {"404", good.replace("/svc/look", "/")},
             {"405", good.replace("POST", "PUT")},
@@ -107,15 +111,18 @@
             {"400", httpRequest("buy", "", "")},
             {"400", good.replace("Req-Time: ", "Req-Time: 9")}
         };
-        for (String[] each : bad) {
-            assertEquals(Integer.parseInt(each[0]), readAnswer(send(each[1])).status(), each[1]);
+        for (String[] statusAndRequest : invalidRequests) {
+            assertEquals(
+                    Integer.parseInt(statusAndRequest[0]),
+                    readResponse(send(statusAndRequest[1])).status(),
+                    statusAndRequest[1]);
         }
         Socket edge = send(good);
         sendOutcome(1, awaitCommand("launch"), "OK", new byte[] {7});
-        assertArrayEquals(new byte[] {7}, readAnswer(edge).body());
+        assertArrayEquals(new byte[] {7}, readResponse(edge).body());
     }
 
-    /** More connections than there is room for: the idlest make room, and those with an operation stay. */
+    /** When descriptors run out, the longest idle connections are closed and those with a request in flight remain. */
     @Test
     void idlestConnectionsAreClosedWhenDescriptorsRunOut() throws IOException {
         startAndLinkAgent();
@@ -124,19 +131,19 @@
         Map<?, ?> launch = awaitCommand("launch");
         for (int i = 0; i < 60; i++) {
             assertEquals(
-                    200, readAnswer(send("GET /status/live HTTP/1.1\r\n\r\n")).status());
+                    200, readResponse(send("GET /status/live HTTP/1.1\r\n\r\n")).status());
         }
         sendOutcome(1, launch, "OK", new byte[] {7});
-        assertEquals(200, readAnswer(busy).status());
+        assertEquals(200, readResponse(busy).status());
     }
 
     @Test
-    void callersDisconnectEndsTheRunAndALostLinkDoesNot() throws IOException {
+    void disconnectOfCallerEndsTheRunAndLossOfAgentLinkDoesNot() throws IOException {
         startAndLinkAgent();
         sendGreeting();
-        Socket gone = send(httpRequest("look", "", ""));
+        Socket disconnected = send(httpRequest("look", "", ""));
         Map<?, ?> first = awaitCommand("launch");
-        gone.close();
+        disconnected.close();
         assertEquals(first.get("req"), awaitCommand("freeze").get("req"));
         sendOutcome(1, first, "STOPPED", new byte[0]);
         Socket edge = send(httpRequest("look", "", ""));
@@ -144,11 +151,11 @@
         agentLink.close();
         acceptAgentLink(1);
         sendToBackend("{\"cmd\":\"greeting\",\"result\":\"WARM\",\"elapsed_ms\":70000}");
-        // What may have been lost with the link is asked again once all notices are read; here it runs already.
+        // A launch that may have been lost with the link is repeated once all events are read; this one already runs.
         assertEquals(launch.get("req"), awaitCommand("launch").get("req"));
         sendToBackend("no json");
         sendOutcome(2, launch, "OK", new byte[] {7});
-        assertArrayEquals(new byte[] {7}, readAnswer(edge).body());
+        assertArrayEquals(new byte[] {7}, readResponse(edge).body());
     }
 
     private void sendDownstreamCall(long offset, Map<?, ?> launch) throws IOException {
@@ -166,41 +173,42 @@
         return recordsConnection;
     }
 
-    /** A reply that is spoilt costs its own call; one that brings more than belongs to it is taken once, alone. */
+    /** A malformed reply fails only its own call, and a duplicate of a reply is ignored. */
     @Test
-    void malformedReplyFailsOneCallAndASecondCopyNone() throws IOException {
+    void malformedReplyFailsOneCallAndDuplicateReplyNone() throws IOException {
         startAndLinkAgent();
         sendGreeting();
-        Socket spoilt = send(httpRequest("buy", "Req-Token: 5c0f6e1a2b3d4c59a8b7c6d5e4f30211\r\n", "a"));
+        Socket failedEdge = send(httpRequest("buy", "Req-Token: 5c0f6e1a2b3d4c59a8b7c6d5e4f30211\r\n", "a"));
         Map<?, ?> first = awaitCommand("launch");
         sendDownstreamCall(1, first);
-        Socket its = acceptCall(first);
+        Socket malformedConnection = acceptCall(first);
         // Held open until the end of the test.
         Socket unusedEdge = send(httpRequest("look", "", ""));
         Map<?, ?> second = awaitCommand("launch");
         String id = "" + second.get("req");
         sendDownstreamCall(2, second);
-        Socket other = acceptCall(second);
-        sendReply(its, "\u0007noise");
-        assertEquals(500, readAnswer(spoilt).status());
-        sendReply(other, "0123456789abcdef DONE 1\r\nx\r\n");
-        sendReply(other, id + " DONE 1\r\na\r\n" + id + " DONE 1\r\na\r\n");
+        Socket duplicateConnection = acceptCall(second);
+        sendReply(malformedConnection, "\u0007noise");
+        assertEquals(500, readResponse(failedEdge).status());
+        sendReply(duplicateConnection, "0123456789abcdef DONE 1\r\nx\r\n");
+        sendReply(duplicateConnection, id + " DONE 1\r\na\r\n" + id + " DONE 1\r\na\r\n");
         assertEquals("YQ==", awaitCommand("deliver").get("payload"));
         sendDownstreamCall(3, second);
-        Socket next = acceptCall(second);
-        assertEquals(4, its.getInputStream().readAllBytes().length);
-        sendReply(next, id + " DONE 1\r\nb\r\n");
+        Socket thirdConnection = acceptCall(second);
+        assertEquals(4, malformedConnection.getInputStream().readAllBytes().length);
+        sendReply(thirdConnection, id + " DONE 1\r\nb\r\n");
         assertEquals("Yg==", awaitCommand("deliver").get("payload"));
-        // A copy may follow late: the run's next call is on another connection even where this one is of use still.
+        // A duplicate may arrive late, so the next call of the run uses another connection even if this one is still
+        // usable.
         sendDownstreamCall(4, second);
-        Socket last = acceptCall(second);
-        sendReply(next, id + " DONE 1\r\nb\r\n");
-        // A length that does not fit: the rest never comes, and it is not waited for until the end.
-        sendReply(last, id + " DONE 9\r\nc\r\n");
-        assertEquals(4, last.getInputStream().readAllBytes().length);
+        Socket truncatedConnection = acceptCall(second);
+        sendReply(thirdConnection, id + " DONE 1\r\nb\r\n");
+        // The length exceeds the body: the backend closes the connection rather than wait for the rest.
+        sendReply(truncatedConnection, id + " DONE 9\r\nc\r\n");
+        assertEquals(4, truncatedConnection.getInputStream().readAllBytes().length);
     }
 
-    /** Replaced under load, the configuration moves the parties and costs no run, no call, no notice and no connection. */
+    /** A reload under load moves the links to new addresses and loses no run, call, event or connection. */
     @Test
     void reloadMovesAllLinksWhileRequestsAreInFlight() throws IOException, InterruptedException {
         startAndLinkAgent();
@@ -219,27 +227,27 @@
         recordsListener = new ServerSocket(0, 50, LOOPBACK);
         directorySocket = new DatagramSocket(0, LOOPBACK);
         setTimeouts();
-        String whole = configuration();
-        Files.writeString(configFile, whole.substring(0, 100));
+        String completeConfiguration = configuration();
+        Files.writeString(configFile, completeConfiguration.substring(0, 100));
         String pid = "" + program.pid();
         assertEquals(0, new ProcessBuilder("kill", "-HUP", pid).start().waitFor());
-        // What is half written is not taken over, and is read again.
+        // The incomplete file is rejected and read again.
         String line = program.inputReader().readLine();
         while (!line.contains("configuration-reload-rejected")) {
             line = program.inputReader().readLine();
         }
-        Files.writeString(configFile, whole);
+        Files.writeString(configFile, completeConfiguration);
         Socket oldAgent = agentLink;
         acceptAgentLink(1);
-        // Until the new link is greeted the old one carries what there is.
+        // The old link remains in use until the agent sends its greeting on the new link.
         Socket newAgent = agentLink;
         agentLink = oldAgent;
         sendOutcome(2, second, "OK", new byte[] {7});
-        assertArrayEquals(new byte[] {7}, readAnswer(running).body());
+        assertArrayEquals(new byte[] {7}, readResponse(running).body());
         agentLink = newAgent;
         sendToBackend("{\"cmd\":\"greeting\",\"result\":\"WARM\",\"elapsed_ms\":70000}");
         sendOutcome(2, second, "ERROR", new byte[0]);
-        // The call in hand ends where it is; the next one goes to the new place.
+        // The call in flight completes on its connection; the next call goes to the new address.
         recordsConnection
                 .getOutputStream()
                 .write((first.get("req") + " DONE 1\r\na\r\n").getBytes(StandardCharsets.US_ASCII));
@@ -252,11 +260,11 @@
                 .write((first.get("req") + " DONE 1\r\nb\r\n").getBytes(StandardCharsets.US_ASCII));
         assertEquals("Yg==", awaitCommand("deliver").get("payload"));
         sendOutcome(4, first, "OK", new byte[] {8});
-        assertArrayEquals(new byte[] {8}, readAnswer(calling).body());
+        assertArrayEquals(new byte[] {8}, readResponse(calling).body());
         directorySocket.receive(new DatagramPacket(new byte[100], 100));
     }
 
-    /** A party that takes what is written and says nothing: its connection is made anew, and not waited on for ever. */
+    /** The connection to a peer that reads but never writes is replaced after a timeout. */
     @Test
     void silentPeerIsNotWaitedForIndefinitely() throws IOException {
         startAndLinkAgent();
@@ -264,7 +272,7 @@
         Socket slow = send("POST /svc/look HTTP/1.1\r\nReq-Id: ");
         Socket check = send("GET /status/live?real=1 HTTP/1.1\r\n\r\n");
         awaitCommand("exercise");
-        assertEquals(503, readAnswer(check).status());
+        assertEquals(503, readResponse(check).status());
         send(httpRequest("look", "", ""));
         Map<?, ?> waiting = awaitCommand("launch");
         sendToBackend("{\"cmd\":\"request\",\"offset\":1,\"req\":\"" + waiting.get("req") + "\",\"payload\":\"AQI=\"}");
@@ -280,47 +288,50 @@
         assertEquals(-1, slow.getInputStream().read());
     }
 
-    /** Within 3 s of connecting each hears something; a connection that was of use may be idle for longer. */
+    /**
+     * A connection without a complete message is closed within 3 s; one that carried a request may be idle for longer.
+     */
     @Test
     void connectionWithoutACompleteMessageIsClosedInTime() throws IOException {
         startAndLinkAgent();
         sendGreeting();
         Socket used = send("GET /status/live HTTP/1.1\r\n\r\n");
-        assertEquals(200, readAnswer(used).status());
-        long from = System.nanoTime();
+        assertEquals(200, readResponse(used).status());
+        long startNanos = System.nanoTime();
         Socket silent = send("");
         Socket half = send(httpRequest("look", "", "body").replace("Length: 4", "Length: 40"));
         assertEquals(-1, silent.getInputStream().read());
         assertEquals(-1, half.getInputStream().read());
-        long took = (System.nanoTime() - from) / 1_000_000;
-        assertTrue(took < 3000, took + " ms");
+        long elapsedMs = (System.nanoTime() - startNanos) / 1_000_000;
+        assertTrue(elapsedMs < 3000, elapsedMs + " ms");
         send(used, "GET /status/live HTTP/1.1\r\n\r\n");
-        assertEquals(200, readAnswer(used).status());
+        assertEquals(200, readResponse(used).status());
     }
 
     @Test
-    void sigtermAnswersWhatIsInFlightAndEnds() throws IOException, InterruptedException {
+    void sigtermAnswersRequestsInFlightAndExits() throws IOException, InterruptedException {
         startAndLinkAgent();
         sendGreeting();
         Socket edge = send(httpRequest("buy", "Req-Token: 5c0f6e1a2b3d4c59a8b7c6d5e4f30211\r\n", "a"));
         Map<?, ?> launch = awaitCommand("launch");
         Socket check = send("GET /status/live HTTP/1.1\r\n\r\n");
         program.destroy();
-        // Its health is bad from the notice on, and that is seen before anything else is told.
-        while (readAnswer(check).status() != 503) {
+        // Waits until the drain has started: the health check fails from then on.
+        while (readResponse(check).status() != 503) {
             send(check, "GET /status/live HTTP/1.1\r\n\r\n");
         }
         sendOutcome(1, launch, "OK", new byte[] {7});
-        assertArrayEquals(new byte[] {7}, readAnswer(edge).body());
-        // All is answered and the grace is over: what still comes on a connection that stayed open hears that it did
-        // not run.
+        assertArrayEquals(new byte[] {7}, readResponse(edge).body());
+        // All requests are answered and the grace period is over: a request on a connection still open is rejected.
         Thread.sleep(500);
-        HttpAnswer late = readAnswer(send(check, httpRequest("look", "", "")));
+        HttpResponse late = readResponse(send(check, httpRequest("look", "", "")));
         assertEquals(503, late.status());
         assertTrue(late.head().contains("Connection: close"), late.head());
         check.close();
         edge.close();
-        assertTrue(program.waitFor(5, TimeUnit.SECONDS), "with nobody connected it does not wait for its stop");
+        assertTrue(
+                program.waitFor(5, TimeUnit.SECONDS),
+                "without connections the process does not wait for the stop time");
         assertEquals(143, program.exitValue());
     }
 
@@ -328,7 +339,7 @@
     void unusableConfigurationIsReportedInOneLine() throws IOException, InterruptedException {
         String good = "{\"listen\":\"127.0.0.1:" + agentListener.getLocalPort()
                 + "\",\"agent\":\"127.0.0.1:1\",\"lookup\":\"127.0.0.1:1\"}";
-        String[] bad = {
+        String[] invalidConfigurations = {
             "{",
             "[]",
             "{}",
@@ -340,11 +351,13 @@
                     "}",
                     ",\"settings\":{\"family-info\":{\"class-skip-worth\":[\"x\"]},\"services\":[{\"name\":\"a\"}]}}")
         };
-        for (String each : bad) {
-            start(each);
-            String said = new String(program.getErrorStream().readAllBytes(), StandardCharsets.UTF_8);
-            assertEquals(1, program.waitFor(), each);
-            assertTrue(said.startsWith("merlinlever: ") && said.indexOf('\n') == said.length() - 1, said);
+        for (String invalid : invalidConfigurations) {
+            start(invalid);
+            String errorOutput = new String(program.getErrorStream().readAllBytes(), StandardCharsets.UTF_8);
+            assertEquals(1, program.waitFor(), invalid);
+            assertTrue(
+                    errorOutput.startsWith("merlinlever: ") && errorOutput.indexOf('\n') == errorOutput.length() - 1,
+                    errorOutput);
         }
     }
 }
--- a/src/test/java/merlinlever/cli/ServeConfigurationTest.java
+++ b/src/test/java/merlinlever/cli/ServeConfigurationTest.java
@@ -13,10 +13,10 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** What a backend can be served with, and what is said where it can't or where something is assumed. */
+/** Validation of the configuration of {@code serve}: errors, and warnings about defaults and unknown settings. */
 class ServeConfigurationTest {
 
-    private static final String GOOD =
+    private static final String VALID =
             "{\"name\":\"n3\",\"listen\":\"127.0.0.1:0\",\"agent\":\"127.0.0.1:1\",\"lookup\":\"127.0.0.1:2\","
                     + "\"seed\":\"8c1f30d27a5be964\",\"stop_ms\":3200,\"limits\":{\"cores\":1.0,\"memory_mb\":192,\"sockets\":384},\"settings\":{"
                     + "\"family-info\":{\"n-cores\":4,\"memory-kb\":90000,\"gauges\":[\"cpu_busy\",\"runnable\"],\"halt\":\"drop\",\"say\":\"silent\","
@@ -39,75 +39,76 @@
         return read(text.getBytes(StandardCharsets.UTF_8));
     }
 
-    /** One part of the good one, which is there, replaced by another. */
-    private static String with(String part, String other) {
-        assertTrue(GOOD.contains(part), part);
-        return GOOD.replace(part, other);
+    /** Returns the valid configuration with one of its parts replaced. */
+    private static String validWith(String part, String replacement) {
+        assertTrue(VALID.contains(part), part);
+        return VALID.replace(part, replacement);
     }
 
-    private static void assertRejected(String text, String... says) {
+    private static void assertRejected(String text, String... expectedParts) {
         String message = assertThrows(InvalidConfigurationException.class, () -> read(text), text)
                 .getMessage();
-        for (String each : says) {
-            assertTrue(message.contains(each), message + " for " + text);
+        for (String part : expectedParts) {
+            assertTrue(message.contains(part), message + " for " + text);
         }
     }
 
     @Test
     void validConfigurationHasNoWarnings() throws Exception {
-        ServeConfiguration good = read(GOOD);
-        assertEquals(List.of(), good.warnings());
-        assertEquals(0x8c1f30d27a5be964L, good.seed());
-        assertEquals(3200, good.stopAfter().toMillis());
+        ServeConfiguration valid = read(VALID);
+        assertEquals(List.of(), valid.warnings());
+        assertEquals(0x8c1f30d27a5be964L, valid.seed());
+        assertEquals(3200, valid.stopAfter().toMillis());
     }
 
     /**
-     * Against settings that pass at the start and fail in service: a grace that is no number stopped the notice to leave, a
-     * stop too far away as well; a memory or core count out of range was replaced in silence, a class after one without a
-     * name was left out, and of two classes with one name the first was served by the terms of the second.
+     * Guards against invalid values that pass the start and fail in service, or that a default replaces without notice.
      */
     @Test
     void invalidValueIsRejectedWithItsNameAndWhatIsAllowed() {
-        assertRejected(with("2000.0", "\"soon\""), "invariants.drain-grace is \"soon\"", "allowed: a number from 0");
-        assertRejected(with("2000.0", "-1"), "invariants.drain-grace");
-        assertRejected(with("2000.0", "1e300"), "invariants.drain-grace");
-        for (String bad : new String[] {"0", "-4", "\"NaN\"", "\"Infinity\"", "\"many\""}) {
-            assertRejected(with("\"n-cores\":4", "\"n-cores\":" + bad), "family-info.n-cores", "above 0");
-            assertRejected(with("\"memory-kb\":90000", "\"memory-kb\":" + bad), "family-info.memory-kb", "above 0");
-            assertRejected(with("\"window\":900.0", "\"window\":" + bad), "services.1.window", "above 0");
-            assertRejected(with("\"aim\":200.0", "\"aim\":" + bad), "services.0.aim", "above 0");
+        assertRejected(
+                validWith("2000.0", "\"soon\""), "invariants.drain-grace is \"soon\"", "allowed: a number from 0");
+        assertRejected(validWith("2000.0", "-1"), "invariants.drain-grace");
+        assertRejected(validWith("2000.0", "1e300"), "invariants.drain-grace");
+        for (String invalid : new String[] {"0", "-4", "\"NaN\"", "\"Infinity\"", "\"many\""}) {
+            assertRejected(validWith("\"n-cores\":4", "\"n-cores\":" + invalid), "family-info.n-cores", "above 0");
+            assertRejected(
+                    validWith("\"memory-kb\":90000", "\"memory-kb\":" + invalid), "family-info.memory-kb", "above 0");
+            assertRejected(validWith("\"window\":900.0", "\"window\":" + invalid), "services.1.window", "above 0");
+            assertRejected(validWith("\"aim\":200.0", "\"aim\":" + invalid), "services.0.aim", "above 0");
         }
-        assertRejected(with("8.0", "0"), "invariants.overload-factor");
-        assertRejected(with("\"gain\":1.0", "\"gain\":-1"), "services.0.gain");
-        assertRejected(with("by_key", "by_kee"), "services.1.semantics is \"by_kee\"", "by_key, once, repeatable");
-        assertRejected(with("\"drop\"", "\"dorp\""), "family-info.halt", "drop");
-        assertRejected(with("[true,false]", "[true,\"no\"]"), "family-info.calls-by-class", "true, false");
-        assertRejected(with("[0.0,0.0]", "[0.0,\"x\"]"), "family-info.class-skip-worth");
-        assertRejected(with("\"buy\"", "\"look\""), "services.1.name is \"look\"", "no other class");
-        assertRejected(with("\"name\":\"look\",", ""), "services");
+        assertRejected(validWith("8.0", "0"), "invariants.overload-factor");
+        assertRejected(validWith("\"gain\":1.0", "\"gain\":-1"), "services.0.gain");
+        assertRejected(validWith("by_key", "by_kee"), "services.1.semantics is \"by_kee\"", "by_key, once, repeatable");
+        assertRejected(validWith("\"drop\"", "\"dorp\""), "family-info.halt", "drop");
+        assertRejected(validWith("[true,false]", "[true,\"no\"]"), "family-info.calls-by-class", "true, false");
+        assertRejected(validWith("[0.0,0.0]", "[0.0,\"x\"]"), "family-info.class-skip-worth");
+        assertRejected(validWith("\"buy\"", "\"look\""), "services.1.name is \"look\"", "no other class");
+        assertRejected(validWith("\"name\":\"look\",", ""), "services");
         assertRejected(
-                with("\"name\":\"buy\",", "").replace("}]}}", "},{\"name\":\"pay\"}]}}"), "services.1.name is missing");
+                validWith("\"name\":\"buy\",", "").replace("}]}}", "},{\"name\":\"pay\"}]}}"),
+                "services.1.name is missing");
         assertRejected(
-                GOOD.substring(0, GOOD.indexOf("\"services\"")) + "\"services\":[]}}",
+                VALID.substring(0, VALID.indexOf("\"services\"")) + "\"services\":[]}}",
                 "services is missing",
                 "one class or more");
-        assertRejected(with("\"settings\":{", "\"settings\":[],\"other\":{"), "services is missing");
-        for (String bad : new String[] {"-1", "1e12", "\"NaN\"", "\"soon\"", "true"}) {
-            assertRejected(with("3200", bad), "stop_ms is", "allowed: a number");
+        assertRejected(validWith("\"settings\":{", "\"settings\":[],\"other\":{"), "services is missing");
+        for (String invalid : new String[] {"-1", "1e12", "\"NaN\"", "\"soon\"", "true"}) {
+            assertRejected(validWith("3200", invalid), "stop_ms is", "allowed: a number");
         }
-        for (String bad : new String[] {"-1", "0", "31", "1e300", "\"NaN\""}) {
-            assertRejected(with("384", bad), "limits.sockets is", "allowed: a number");
+        for (String invalid : new String[] {"-1", "0", "31", "1e300", "\"NaN\""}) {
+            assertRejected(validWith("384", invalid), "limits.sockets is", "allowed: a number");
         }
-        assertRejected(with("\"agent\":\"127.0.0.1:1\"", "\"agent\":\"127.0.0.1:0\""), "agent has port 0");
-        assertRejected(with("127.0.0.1:2", "127.0.0.1:70000"), "lookup is 127.0.0.1:70000", "ADDRESS:PORT");
-        assertRejected(with("\"listen\":\"127.0.0.1:0\",", ""), "listen is missing");
+        assertRejected(validWith("\"agent\":\"127.0.0.1:1\"", "\"agent\":\"127.0.0.1:0\""), "agent has port 0");
+        assertRejected(validWith("127.0.0.1:2", "127.0.0.1:70000"), "lookup is 127.0.0.1:70000", "ADDRESS:PORT");
+        assertRejected(validWith("\"listen\":\"127.0.0.1:0\",", ""), "listen is missing");
         assertRejected("{\"a\":\"" + "x".repeat(1 << 20) + "\"}", "longer than");
-        assertRejected(GOOD.substring(0, 300), "is not a JSON object");
+        assertRejected(VALID.substring(0, 300), "is not a JSON object");
     }
 
-    /** Against a failure that is not told in one line: bytes that are no text, a folder in the file's place. */
+    /** Guards against a file error that is not reported as a configuration error. */
     @Test
-    void fileThatIsNoTextOrNoFileIsRejected() {
+    void invalidUtf8AndUnreadableFileAreRejected() {
         assertThrows(InvalidConfigurationException.class, () -> read(new byte[] {'{', (byte) 0xff, '}'}));
         String message = assertThrows(
                         InvalidConfigurationException.class, () -> ServeConfiguration.read(Map.of("GW_CONFIG", "src")))
@@ -116,10 +117,10 @@
         assertThrows(InvalidConfigurationException.class, () -> ServeConfiguration.read(Map.of()));
     }
 
-    /** Against defaults that hide a missing setting: each that matters is named in one line, with what is assumed. */
+    /** Guards against defaults that hide a missing setting. */
     @Test
-    void missingSettingsThatMatterAreWarnedOfInOneLine() throws Exception {
-        String[][] each = {
+    void missingSettingsAreListedWithDefaultsInOneWarning() throws Exception {
+        String[][] removedPartsAndWarnings = {
             {"\"n-cores\":4,", "family-info.n-cores (1)"},
             {"\"memory-kb\":90000,", "family-info.memory-kb (no limit)"},
             {"\"drain-grace\":2000.0,", "invariants.drain-grace (0 ms)"},
@@ -132,50 +133,50 @@
             {",\"sockets\":384", "limits.sockets (1024)"},
             {"\"seed\":\"8c1f30d27a5be964\",", "seed"}
         };
-        String none = GOOD;
-        for (String[] one : each) {
-            ServeConfiguration read = read(with(one[0], ""));
-            assertEquals(1, read.warnings().size(), one[0]);
+        String withoutAny = VALID;
+        for (String[] removedPartAndWarning : removedPartsAndWarnings) {
+            ServeConfiguration configuration = read(validWith(removedPartAndWarning[0], ""));
+            assertEquals(1, configuration.warnings().size(), removedPartAndWarning[0]);
             assertTrue(
-                    read.warnings().get(0).startsWith("missing-settings-defaulted settings=")
-                            && read.warnings().get(0).contains(one[1]),
-                    read.warnings().get(0));
-            none = none.replace(one[0], "");
+                    configuration.warnings().get(0).startsWith("missing-settings-defaulted settings=")
+                            && configuration.warnings().get(0).contains(removedPartAndWarning[1]),
+                    configuration.warnings().get(0));
+            withoutAny = withoutAny.replace(removedPartAndWarning[0], "");
         }
-        assertEquals(1, read(none).warnings().size());
-        assertTrue(read(with("[true,false]", "[true]"))
+        assertEquals(1, read(withoutAny).warnings().size());
+        assertTrue(read(validWith("[true,false]", "[true]"))
                 .warnings()
                 .get(0)
                 .contains("family-info.calls-by-class has 1 of 2"));
-        assertTrue(read(with("8c1f30d27a5be964", "8c1f30d27a5be96x"))
+        assertTrue(read(validWith("8c1f30d27a5be964", "8c1f30d27a5be96x"))
                 .warnings()
                 .get(0)
                 .contains("16 hex digits"));
     }
 
-    /** A window that is stated as none, and a class of no value, do no harm. */
+    /** A class without idempotency keys may have a window of zero, and any class a gain of zero. */
     @Test
-    void unkeyedClassMayHaveNoWindowAndAnyClassNoWeight() throws Exception {
+    void zeroWindowAndZeroGainAreValid() throws Exception {
         assertEquals(
                 List.of(),
-                read(with("\"gain\":1.0", "\"gain\":0,\"window\":0.0")).warnings());
+                read(validWith("\"gain\":1.0", "\"gain\":0,\"window\":0.0")).warnings());
     }
 
-    /** The fleet's chances fall apart also where no seed is told. */
+    /** Backends without a configured seed must not draw the same random numbers. */
     @Test
-    void seedIsMadeOfTheNameWhereNoneIsGiven() throws Exception {
-        String without = with("\"seed\":\"8c1f30d27a5be964\",", "");
-        assertFalse(read(without).seed()
-                == read(without.replace("\"n3\"", "\"n4\"")).seed());
+    void missingSeedIsDerivedFromTheName() throws Exception {
+        String withoutSeed = validWith("\"seed\":\"8c1f30d27a5be964\",", "");
+        assertFalse(read(withoutSeed).seed()
+                == read(withoutSeed.replace("\"n3\"", "\"n4\"")).seed());
     }
 
-    /** A class may have any name, also one that is a word of the settings; it was looked for under another then. */
+    /** A priority class may have any name, including a keyword of the settings. */
     @Test
     void classNamedLikeASettingsKeywordKeepsItsName() throws Exception {
         for (String name : new String[] {"sockets", "once", "silent", "repeatable"}) {
             assertEquals(
                     name,
-                    read(with("\"look\"", "\"" + name + "\""))
+                    read(validWith("\"look\"", "\"" + name + "\""))
                             .settings()
                             .priorityClasses()
                             .get(0)
@@ -183,11 +184,10 @@
         }
     }
 
-    /** New keys are skipped and named, as before. */
     @Test
     void unknownKeyIsIgnoredWithAWarning() throws Exception {
         assertEquals(
                 List.of("unknown-settings-ignored settings=family-info.cpus"),
-                read(with("\"n-cores\":4", "\"n-cores\":4,\"cpus\":\"x\"")).warnings());
+                read(validWith("\"n-cores\":4", "\"n-cores\":4,\"cpus\":\"x\"")).warnings());
     }
 }
--- a/src/test/java/merlinlever/cli/ServeProcessFixture.java
+++ b/src/test/java/merlinlever/cli/ServeProcessFixture.java
@@ -21,7 +21,7 @@
 import merlinlever.common.json.Json;
 import org.junit.jupiter.api.AfterEach;
 
-/** The whole program as a process of its own, with small stand-ins for the parties around it, on loopback. */
+/** Runs {@code serve} in its own process, with stub peers on the loopback interface. */
 abstract class ServeProcessFixture {
 
     static final int TIMEOUT_MS = 20_000;
@@ -48,16 +48,16 @@
         directorySocket.setSoTimeout(TIMEOUT_MS);
     }
 
-    /** What an edge node hears. */
-    record HttpAnswer(int status, String head, byte[] body) {}
+    /** A response as an edge node receives it. */
+    record HttpResponse(int status, String head, byte[] body) {}
 
     Process start(String configuration) throws IOException {
         Files.writeString(configFile, configuration);
-        return startWithFileAsItIs();
+        return startWithExistingFile();
     }
 
-    /** With the file as it is. */
-    Process startWithFileAsItIs() throws IOException {
+    /** Starts the program with the current content of the configuration file. */
+    Process startWithExistingFile() throws IOException {
         ProcessBuilder builder = new ProcessBuilder(
                 Path.of(System.getProperty("java.home"), "bin", "java").toString(),
                 "-XX:TieredStopAtLevel=1",
@@ -67,7 +67,7 @@
                 "serve");
         builder.environment().put("GW_CONFIG", configFile.toString());
         Process started = builder.start();
-        // Whoever reads what it says reads to its end: a test that fails is over, too.
+        // Ends the process eventually, so that a failing test does not block on its output.
         CompletableFuture.delayedExecutor(60, TimeUnit.SECONDS).execute(started::destroyForcibly);
         program = started;
         return program;
@@ -89,7 +89,7 @@
         start(configuration());
         String line = program.inputReader().readLine();
         port = Integer.parseInt(line.substring(line.lastIndexOf(':') + 1));
-        // Its own code has been gone through before the first operation, and nobody heard of it.
+        // The warm-up finishes before the first request.
         assertTrue(
                 program.inputReader().readLine().matches(".*warm-up-finished requests=[1-9][0-9]* duration_ms=[0-9]+"));
         acceptAgentLink(0);
@@ -97,7 +97,7 @@
 
     void sendGreeting() throws IOException {
         sendToBackend("{\"cmd\":\"greeting\",\"result\":\"WARM\",\"elapsed_ms\":60000.5}");
-        // The gauges that it asks for once it has started.
+        // Answers the first sample command, which the backend sends once it has started.
         Map<?, ?> sample = awaitCommand("sample");
         sendToBackend("{\"cmd\":\"sampled\",\"token\":\"" + sample.get("token") + "\",\"load\":[0]}");
     }
@@ -119,8 +119,11 @@
         Files.delete(configFile);
     }
 
-    /** The next command of that word; samples between are answered, or its gauge would be out of date. */
-    Map<?, ?> awaitCommand(String word) throws IOException {
+    /**
+     * Returns the next command with the given name. Answers sample commands before it to keep the backend's gauges
+     * current.
+     */
+    Map<?, ?> awaitCommand(String name) throws IOException {
         while (true) {
             Map<?, ?> command;
             try {
@@ -128,7 +131,7 @@
             } catch (Json.MalformedJsonException e) {
                 throw new IOException(e);
             }
-            if (command.get("cmd").equals(word)) {
+            if (command.get("cmd").equals(name)) {
                 return command;
             }
             assertEquals("sample", command.get("cmd"), "" + command);
@@ -147,11 +150,12 @@
                         + Base64.getEncoder().encodeToString(payload) + "\"}");
     }
 
-    String httpRequest(String tariff, String more, String body) {
-        return "POST /svc/" + tariff + " HTTP/1.1\r\nHost: api\r\nReq-Id: " + String.format("%016x", nextRequestId++)
+    String httpRequest(String priorityClass, String extraHeaders, String body) {
+        return "POST /svc/" + priorityClass + " HTTP/1.1\r\nHost: api\r\nReq-Id: "
+                + String.format("%016x", nextRequestId++)
                 + "\r\nReq-Time: " + System.currentTimeMillis()
                 + "\r\nReq-From: 4\r\nReq-Wait-Ms: 30000\r\nReq-Kb: 24.5\r\n"
-                + "Req-Rank: 0.6250\r\n" + more + "Content-Length: " + body.length() + "\r\n\r\n" + body;
+                + "Req-Rank: 0.6250\r\n" + extraHeaders + "Content-Length: " + body.length() + "\r\n\r\n" + body;
     }
 
     Socket send(String message) throws IOException {
@@ -166,18 +170,18 @@
         return socket;
     }
 
-    static HttpAnswer readAnswer(Socket socket) throws IOException {
+    static HttpResponse readResponse(Socket socket) throws IOException {
         InputStream in = socket.getInputStream();
         ByteArrayOutputStream head = new ByteArrayOutputStream();
         while (!head.toString(StandardCharsets.US_ASCII).endsWith("\r\n\r\n")) {
             int next = in.read();
-            assertTrue(next >= 0, "the answer ends within its head: " + head);
+            assertTrue(next >= 0, "the response ends within its head: " + head);
             head.write(next);
         }
         String text = head.toString(StandardCharsets.US_ASCII);
-        int at = text.indexOf("Content-Length: ") + 16;
-        int length = Integer.parseInt(text.substring(at, text.indexOf('\r', at)));
-        return new HttpAnswer(Integer.parseInt(text.substring(9, 12)), text, in.readNBytes(length));
+        int lengthStart = text.indexOf("Content-Length: ") + 16;
+        int length = Integer.parseInt(text.substring(lengthStart, text.indexOf('\r', lengthStart)));
+        return new HttpResponse(Integer.parseInt(text.substring(9, 12)), text, in.readNBytes(length));
     }
 
     String readRecordsLine() throws IOException {
--- a/src/test/java/merlinlever/cli/StartAndStopTest.java
+++ b/src/test/java/merlinlever/cli/StartAndStopTest.java
@@ -28,12 +28,13 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Signals that cross the start, each other, the greeting, a configuration that is being written, and the stop. Where a
- * reading of the configuration is the barrier, the file is a pipe: it can be opened for writing once it is being read.
+ * Signals that arrive during the start, the greeting of the agent, a reload, another signal or the shutdown. To
+ * synchronize with a read of the configuration, the file is a named pipe: opening it for writing blocks until the
+ * program reads it.
  */
 class StartAndStopTest extends ServeProcessFixture {
 
-    private static final String TOKEN = "Req-Token: 5c0f6e1a2b3d4c59a8b7c6d5e4f30211\r\n";
+    private static final String TOKEN_HEADER = "Req-Token: 5c0f6e1a2b3d4c59a8b7c6d5e4f30211\r\n";
 
     StartAndStopTest() throws IOException {}
 
@@ -45,62 +46,65 @@
                         .waitFor());
     }
 
-    /** Sends it, and returns once the runtime has run its handler: its dispatcher waits again, and the handler's thread is over. */
+    /**
+     * Sends a signal and returns once its handler has run: the JVM's signal dispatcher waits again and the handler's
+     * thread has ended.
+     */
     private void signalAndAwaitHandler(String name) throws IOException, InterruptedException {
-        String before = signalDispatcherWaits();
+        String countBefore = dispatcherSwitchCount();
         signal(name);
-        String now = signalDispatcherWaits();
-        while (now == null || now.equals(before)) {
+        String count = dispatcherSwitchCount();
+        while (count == null || count.equals(countBefore)) {
             assertTrue(program.isAlive());
-            now = signalDispatcherWaits();
+            count = dispatcherSwitchCount();
         }
     }
 
-    /** How often the runtime's dispatcher of signals has waited, or null while a handler runs. */
-    private String signalDispatcherWaits() throws IOException {
-        String waits = null;
+    /** Returns the count of voluntary context switches of the JVM's signal dispatcher, or null while a handler runs. */
+    private String dispatcherSwitchCount() throws IOException {
+        String switchCount = null;
         try (DirectoryStream<Path> threads = Files.newDirectoryStream(Path.of("/proc/" + program.pid() + "/task"))) {
             for (Path thread : threads) {
                 String status = Files.readString(thread.resolve("status"));
-                if (status.startsWith("Name:\tSIG") || (waits != null && status.startsWith("Name:\tSignal"))) {
+                if (status.startsWith("Name:\tSIG") || (switchCount != null && status.startsWith("Name:\tSignal"))) {
                     return null;
                 }
                 if (status.startsWith("Name:\tSignal")) {
-                    waits = status.substring(status.indexOf("\nvoluntary"), status.indexOf("\nnonvoluntary"));
+                    switchCount = status.substring(status.indexOf("\nvoluntary"), status.indexOf("\nnonvoluntary"));
                 }
             }
         } catch (NoSuchFileException | DirectoryIteratorException e) {
             // A thread ended meanwhile.
             return null;
         }
-        return waits;
+        return switchCount;
     }
 
-    /** A new pipe in the file's place; who reads the one before goes on reading that. */
+    /** Replaces the configuration file by a new pipe; a reader of the previous pipe keeps reading that one. */
     private void replaceFileByPipe() throws IOException, InterruptedException {
-        Path made = Path.of(configFile + ".pipe");
-        assertEquals(0, new ProcessBuilder("mkfifo", made.toString()).start().waitFor());
-        Files.move(made, configFile, StandardCopyOption.REPLACE_EXISTING);
+        Path pipe = Path.of(configFile + ".pipe");
+        assertEquals(0, new ProcessBuilder("mkfifo", pipe.toString()).start().waitFor());
+        Files.move(pipe, configFile, StandardCopyOption.REPLACE_EXISTING);
     }
 
-    /** The writing side of the pipe, once the program reads it; it fails where the program doesn't come. */
+    /** Returns the writing end of the pipe once the program reads the pipe; fails if the program does not. */
     private OutputStream openPipe() throws IOException, InterruptedException {
-        Path here = configFile;
+        Path pipe = configFile;
         try {
             return CompletableFuture.supplyAsync(() -> {
                         try {
-                            return Files.newOutputStream(here);
+                            return Files.newOutputStream(pipe);
                         } catch (IOException e) {
                             throw new UncheckedIOException(e);
                         }
                     })
                     .get(10, TimeUnit.SECONDS);
         } catch (ExecutionException | TimeoutException e) {
-            throw new AssertionError("it does not read its configuration", e);
+            throw new AssertionError("the program does not read its configuration", e);
         }
     }
 
-    /** Lets the program read this once, and meets its next reading at a new pipe. */
+    /** Serves one read of the configuration, and prepares a new pipe for the next read. */
     private void serveFileOnce(String text) throws IOException, InterruptedException {
         try (OutputStream out = openPipe()) {
             replaceFileByPipe();
@@ -113,43 +117,43 @@
         while (line != null && !line.contains(part)) {
             line = program.inputReader().readLine();
         }
-        assertTrue(line != null, "it never said " + part);
+        assertTrue(line != null, "no log line contains " + part);
         return line;
     }
 
     private void assertExit(int status) throws InterruptedException {
-        assertTrue(program.waitFor(10, TimeUnit.SECONDS), "it does not end");
+        assertTrue(program.waitFor(10, TimeUnit.SECONDS), "the process does not exit");
         assertEquals(status, program.exitValue());
     }
 
-    /** The notice to leave has been heard: health is bad from it on. */
+    /** Waits until the drain has started, which makes the health check fail. */
     private Socket awaitDraining() throws IOException {
         Socket check = send("GET /status/live HTTP/1.1\r\n\r\n");
-        while (readAnswer(check).status() != 503) {
+        while (readResponse(check).status() != 503) {
             send(check, "GET /status/live HTTP/1.1\r\n\r\n");
         }
         return check;
     }
 
-    private void moveAgent() throws IOException {
+    private void moveAgentListener() throws IOException {
         agentListener.close();
         agentListener = new ServerSocket(0, 50, LOOPBACK);
         setTimeouts();
     }
 
-    /** Against a SIGHUP that ends the start, or is lost in it: what is read before it may be out of date. */
+    /** Guards against a SIGHUP that terminates the process during the start, or that is lost. */
     @Test
-    void sighupDuringStartIsCarriedOutAfterIt() throws IOException, InterruptedException {
-        String old = configuration();
+    void sighupDuringStartReloadsAfterIt() throws IOException, InterruptedException {
+        String oldConfiguration = configuration();
         replaceFileByPipe();
-        startWithFileAsItIs();
+        startWithExistingFile();
         try (OutputStream out = openPipe()) {
             signal("HUP");
             signal("HUP");
             replaceFileByPipe();
-            out.write(old.getBytes(StandardCharsets.UTF_8));
+            out.write(oldConfiguration.getBytes(StandardCharsets.UTF_8));
         }
-        moveAgent();
+        moveAgentListener();
         serveFileOnce(configuration());
         awaitLogLine("configuration-reloaded");
         acceptAgentLink(0);
@@ -157,22 +161,22 @@
         assertTrue(program.isAlive());
     }
 
-    /** Against a shutdown hook that waits for a loop that does not run yet. */
+    /** Guards against a shutdown hook that waits for an event loop that does not run yet. */
     @Test
-    void sigtermDuringStartEndsItAtOnce() throws IOException, InterruptedException {
+    void sigtermDuringStartExitsAtOnce() throws IOException, InterruptedException {
         replaceFileByPipe();
-        startWithFileAsItIs();
+        startWithExistingFile();
         OutputStream out = openPipe();
         signal("TERM");
         assertExit(143);
         out.close();
     }
 
-    /** A start that fails by itself runs the shutdown hook too, which must not wait: nothing here ever ran. */
+    /** A failed start also runs the shutdown hook, which must not wait for an event loop that never ran. */
     @Test
-    void failedStartEndsWithOneLineThatNamesTheFile() throws IOException, InterruptedException {
+    void failedStartReportsTheFileAndReasonInOneLine() throws IOException, InterruptedException {
         String good = configuration();
-        String[][] bad = {
+        String[][] invalidConfigurations = {
             {good.replace("\"stop_ms\":8000", "\"stop_ms\":-1"), "stop_ms is -1; allowed: a number from 0"},
             {
                 good.replace("127.0.0.1:0", "127.0.0.1:" + agentListener.getLocalPort()),
@@ -183,67 +187,73 @@
                 "invariants.drain-grace is \"s oon\"; allowed: a number"
             }
         };
-        for (String[] each : bad) {
-            start(each[0]);
+        for (String[] textAndReason : invalidConfigurations) {
+            start(textAndReason[0]);
             assertExit(1);
-            String told = new String(program.getErrorStream().readAllBytes(), StandardCharsets.UTF_8);
-            assertTrue(told.startsWith("merlinlever: " + configFile + ": ") && told.contains(each[1]), told);
-            assertEquals(told.length() - 1, told.indexOf('\n'), told);
+            String errorOutput = new String(program.getErrorStream().readAllBytes(), StandardCharsets.UTF_8);
+            assertTrue(
+                    errorOutput.startsWith("merlinlever: " + configFile + ": ")
+                            && errorOutput.contains(textAndReason[1]),
+                    errorOutput);
+            assertEquals(errorOutput.length() - 1, errorOutput.indexOf('\n'), errorOutput);
         }
     }
 
-    /** Against a request that is read and not answered, run, or waited for, where the agent has not even greeted yet. */
+    /** Guards against a request that is left unanswered if SIGTERM precedes the agent's greeting. */
     @Test
     void sigtermBeforeGreetingRejectsAllRequestsAndEnds() throws IOException, InterruptedException {
         startAndLinkAgent();
-        Socket resting = send("GET /status/live HTTP/1.1\r\n\r\n");
-        assertEquals(503, readAnswer(resting).status());
+        Socket idle = send("GET /status/live HTTP/1.1\r\n\r\n");
+        assertEquals(503, readResponse(idle).status());
         signal("TERM");
-        Socket asking = send(httpRequest("look", "", ""));
-        HttpAnswer answer = readAnswer(asking);
-        // The grace is over once answers ask for the end of their connection.
-        while (!answer.head().contains("Connection: close")) {
-            assertEquals(503, answer.status());
-            answer = readAnswer(send(asking, httpRequest("look", "", "")));
+        Socket edge = send(httpRequest("look", "", ""));
+        HttpResponse response = readResponse(edge);
+        // After the grace period, responses contain the header Connection: close.
+        while (!response.head().contains("Connection: close")) {
+            assertEquals(503, response.status());
+            response = readResponse(send(edge, httpRequest("look", "", "")));
         }
-        assertEquals(503, answer.status());
-        asking.close();
+        assertEquals(503, response.status());
+        edge.close();
         sendToBackend("{\"cmd\":\"greeting\",\"result\":\"WARM\",\"elapsed_ms\":60000.5}");
         assertEquals(
-                503, readAnswer(send(resting, httpRequest("buy", TOKEN, "a"))).status());
-        resting.close();
-        // Nothing was sent to the agent, not even a question.
+                503,
+                readResponse(send(idle, httpRequest("buy", TOKEN_HEADER, "a"))).status());
+        idle.close();
+        // The backend sent no command to the agent.
         assertEquals(null, commandReader.readLine());
         assertExit(143);
     }
 
-    /** Against a drain that begins anew, and against a SIGHUP that is left aside while there is work on the old link. */
+    /**
+     * Guards against a second SIGTERM that restarts the drain, and against a SIGHUP that is ignored during the drain.
+     */
     @Test
-    void secondSigtermChangesNothingAndSighupAfterItMovesTheLink() throws IOException, InterruptedException {
+    void secondSigtermIsIgnoredAndLaterSighupMovesTheAgentLink() throws IOException, InterruptedException {
         startAndLinkAgent();
         sendGreeting();
-        Socket edge = send(httpRequest("buy", TOKEN, "a"));
+        Socket edge = send(httpRequest("buy", TOKEN_HEADER, "a"));
         Map<?, ?> launch = awaitCommand("launch");
         signal("TERM");
         Socket check = awaitDraining();
         signal("TERM");
-        moveAgent();
+        moveAgentListener();
         Files.writeString(configFile, configuration());
         signal("HUP");
-        Socket before = agentLink;
+        Socket oldLink = agentLink;
         acceptAgentLink(0);
         sendToBackend("{\"cmd\":\"greeting\",\"result\":\"WARM\",\"elapsed_ms\":70000}");
         sendOutcome(1, launch, "OK", new byte[] {7});
-        assertArrayEquals(new byte[] {7}, readAnswer(edge).body());
-        before.close();
+        assertArrayEquals(new byte[] {7}, readResponse(edge).body());
+        oldLink.close();
         edge.close();
         check.close();
         assertExit(143);
     }
 
-    /** Against five lines for one bad file, and against a reading too many that is still to come when the next signal has come. */
+    /** Guards against one log line per failed attempt, and against retries that continue after the next signal. */
     @Test
-    void invalidFileIsLoggedOnceAndTheConfigurationStays() throws IOException, InterruptedException {
+    void invalidFileIsLoggedOnceAndConfigurationIsKept() throws IOException, InterruptedException {
         startAndLinkAgent();
         sendGreeting();
         replaceFileByPipe();
@@ -252,7 +262,8 @@
         for (int i = 0; i < 5; i++) {
             serveFileOnce(bad);
         }
-        // The readings of one signal are over; this one is not usable at first, and is read again.
+        // All attempts of the first signal have failed. After the second signal the file is valid on the second
+        // attempt.
         signal("HUP");
         serveFileOnce("{");
         serveFileOnce(configuration());
@@ -262,27 +273,27 @@
             lines.add(line);
             line = program.inputReader().readLine();
         }
-        lines.removeIf(each -> !each.contains("configuration-reload-rejected"));
+        lines.removeIf(entry -> !entry.contains("configuration-reload-rejected"));
         assertEquals(2, lines.size(), "" + lines);
         assertTrue(
                 lines.get(0)
                         .contains(configFile + ": settings: family-info.n-cores is \"0\"; allowed: a number above 0"),
                 lines.get(0));
         assertTrue(lines.get(1).contains("is not a JSON object"), lines.get(1));
-        // The old one stayed: the link is the one that it named.
+        // The previous configuration is still in force, so the agent link is unchanged.
         Socket edge = send(httpRequest("look", "", ""));
         sendOutcome(1, awaitCommand("launch"), "OK", new byte[] {7});
-        assertEquals(200, readAnswer(edge).status());
+        assertEquals(200, readResponse(edge).status());
     }
 
-    /** Against two rows of readings side by side: the later signal's takes the place of what was to come of the earlier. */
+    /** Guards against two concurrent series of attempts: a signal cancels the pending retries of an earlier one. */
     @Test
     void secondSighupReplacesPendingRetries() throws IOException, InterruptedException {
         startAndLinkAgent();
         sendGreeting();
         replaceFileByPipe();
         signal("HUP");
-        // While this is being read the second signal comes, so its reading is the next.
+        // The second signal arrives during this read, so its attempt is the next one.
         try (OutputStream out = openPipe()) {
             signalAndAwaitHandler("HUP");
             replaceFileByPipe();
@@ -290,18 +301,19 @@
         }
         serveFileOnce(configuration());
         awaitLogLine("configuration-reloaded");
-        // A reading more would hold the program at the pipe: it answers this after the second that a check may take.
+        // A further read would block the program at the pipe. Instead, the check gets its response after its timeout of
+        // one second.
         Socket check = send("GET /status/live?real=1 HTTP/1.1\r\n\r\n");
         awaitCommand("exercise");
-        assertEquals(503, readAnswer(check).status());
+        assertEquals(503, readResponse(check).status());
     }
 
-    /** Against a notice to leave that waits for a file, and against a reading that outlives the drain. */
+    /** Guards against a drain that waits for a valid file, and against a retry that continues after the drain. */
     @Test
-    void sigtermDuringHalfWrittenConfigurationDrainsAsUsual() throws IOException, InterruptedException {
+    void sigtermWithIncompleteConfigurationDrainsAsUsual() throws IOException, InterruptedException {
         startAndLinkAgent();
         sendGreeting();
-        Socket edge = send(httpRequest("buy", TOKEN, "a"));
+        Socket edge = send(httpRequest("buy", TOKEN_HEADER, "a"));
         Map<?, ?> launch = awaitCommand("launch");
         Files.writeString(configFile, configuration().substring(0, 100));
         signal("HUP");
@@ -309,14 +321,17 @@
         signal("TERM");
         awaitDraining().close();
         sendOutcome(1, launch, "OK", new byte[] {7});
-        assertArrayEquals(new byte[] {7}, readAnswer(edge).body());
+        assertArrayEquals(new byte[] {7}, readResponse(edge).body());
         edge.close();
         assertExit(143);
     }
 
-    /** Against a stop before the grace is over, or so soon that no time is left for last writes: all is answered still. */
+    /**
+     * Guards against unanswered requests if the stop time precedes the end of the grace period or leaves no time for
+     * the last writes.
+     */
     @Test
-    void stopShorterThanGraceAnswersAllAndEnds() throws IOException, InterruptedException {
+    void stopTimeWithinGraceAnswersAllRequestsAndExits() throws IOException, InterruptedException {
         start(configuration()
                 .replace("\"stop_ms\":8000", "\"stop_ms\":100")
                 .replace("\"drain-grace\":100", "\"drain-grace\":60000"));
@@ -324,14 +339,14 @@
         port = Integer.parseInt(line.substring(line.lastIndexOf(':') + 1));
         acceptAgentLink(0);
         sendGreeting();
-        Socket edge = send(httpRequest("buy", TOKEN, "a"));
+        Socket edge = send(httpRequest("buy", TOKEN_HEADER, "a"));
         awaitCommand("launch");
         signal("TERM");
-        assertEquals(500, readAnswer(edge).status());
+        assertEquals(500, readResponse(edge).status());
         assertExit(143);
     }
 
-    /** A client that rests until the backend ends hears its end, and no reset; nobody is let in after the grace. */
+    /** An idle connection is closed without a reset, and new connections are refused after the exit. */
     @Test
     void idleConnectionSeesOrderlyCloseWithinTheStop() throws IOException, InterruptedException {
         start(configuration().replace("\"stop_ms\":8000", "\"stop_ms\":1200"));
@@ -339,10 +354,10 @@
         port = Integer.parseInt(line.substring(line.lastIndexOf(':') + 1));
         acceptAgentLink(0);
         sendGreeting();
-        Socket resting = send("GET /status/live HTTP/1.1\r\n\r\n");
-        assertEquals(200, readAnswer(resting).status());
+        Socket idle = send("GET /status/live HTTP/1.1\r\n\r\n");
+        assertEquals(200, readResponse(idle).status());
         signal("TERM");
-        assertEquals(-1, resting.getInputStream().read());
+        assertEquals(-1, idle.getInputStream().read());
         assertExit(143);
         assertFalse(canConnect());
     }
--- a/src/test/java/merlinlever/cli/WarmUpTest.java
+++ b/src/test/java/merlinlever/cli/WarmUpTest.java
@@ -8,17 +8,21 @@
 import merlinlever.controller.settings.PriorityClassSettings;
 import org.junit.jupiter.api.Test;
 
-/** How long the start may rehearse. */
+/** Time limit of the warm-up. */
 class WarmUpTest {
 
-    /** Against a rehearsal that takes a start on little processor beyond its time: what came before it tells how slow it is. */
+    /**
+     * Guards against a warm-up that makes the startup too long on a slow processor, as indicated by the time before it.
+     */
     @Test
-    void isShortenedWhereTheStartWasSlow() {
-        Duration whole = WarmUp.timeLimit(Duration.ofMillis(100));
-        assertEquals(Duration.ofMillis(2500), whole, "on a whole core it is bounded by itself");
-        Duration twentieth = WarmUp.timeLimit(Duration.ofSeconds(2));
-        assertTrue(twentieth.compareTo(whole.dividedBy(2)) < 0 && !twentieth.isZero(), "" + twentieth);
-        // Runtime, program and rehearsal are over in half of the ten seconds, wherever it rehearses at all.
+    void limitIsShorterAfterASlowStart() {
+        Duration limitOnFullCore = WarmUp.timeLimit(Duration.ofMillis(100));
+        assertEquals(Duration.ofMillis(2500), limitOnFullCore, "on a full core only the maximum applies");
+        Duration limitOnSlowCore = WarmUp.timeLimit(Duration.ofSeconds(2));
+        assertTrue(
+                limitOnSlowCore.compareTo(limitOnFullCore.dividedBy(2)) < 0 && !limitOnSlowCore.isZero(),
+                "" + limitOnSlowCore);
+        // JVM start, program start and warm-up together take at most half of the ten seconds allowed for the startup.
         for (int ms = 0; ms < 2500; ms += 10) {
             assertTrue(2L * ms + WarmUp.timeLimit(Duration.ofMillis(ms)).toMillis() <= 5000);
         }
