--- a/src/test/java/merlinlever/compatibility/BenchBytesTest.java
+++ b/src/test/java/merlinlever/compatibility/BenchBytesTest.java
@@ -11,8 +11,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Nine seconds of one server on the simulator's wire (load, duplicates, calls, overload, a stall, a drain): the decisions and
- * the text of each line are those that version 0.2 sent, log lines among them.
+ * Replays nine seconds of events of one simulated server: load, duplicates, calls, overload, a stall and a drain. All
+ * output lines, including log lines, have to equal the output of version 0.2.
  */
 class BenchBytesTest {
 
@@ -21,7 +21,7 @@
     }
 
     @Test
-    void theSameEventsAreAnsweredWithTheSameBytes() throws IOException {
+    void recordedEventsProduceRecordedDecisions() throws IOException {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         try (InputStream events = BenchBytesTest.class.getResourceAsStream("/compatibility/bench-events.txt");
                 InputStream decisions =
--- a/src/test/java/merlinlever/compatibility/DatagramBytesTest.java
+++ b/src/test/java/merlinlever/compatibility/DatagramBytesTest.java
@@ -39,10 +39,10 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Datagrams between backends, and the texts that they carry. */
+/** Compatibility with version 0.2 of the datagrams between backends and of the texts in them. */
 class DatagramBytesTest {
 
-    private static final Duration LATER = Duration.ofSeconds(20);
+    private static final Duration UPTIME = Duration.ofSeconds(20);
 
     private final Fixture fixture = new Fixture("datagrams.txt");
 
@@ -50,9 +50,9 @@
     Path folder;
 
     @Test
-    void eachKindOfMembershipIsWrittenAndReadAsBefore() {
-        MembershipCodec wire = new MembershipCodec("a-secret-of-16-or-more".getBytes(StandardCharsets.US_ASCII));
-        Map<String, MessageKind> kinds = Map.of(
+    void everyMessageKindIsEncodedAndDecodedAsRecorded() {
+        MembershipCodec codec = new MembershipCodec("a-secret-of-16-or-more".getBytes(StandardCharsets.US_ASCII));
+        Map<String, MessageKind> kindsByName = Map.of(
                 "ping",
                 MessageKind.PING,
                 "ack",
@@ -73,23 +73,23 @@
                 MessageKind.TEXT,
                 "carry",
                 MessageKind.PAYLOAD);
-        assertEquals(MessageKind.values().length, kinds.size());
+        assertEquals(MessageKind.values().length, kindsByName.size());
         List<MemberStatus> statuses =
                 List.of(MemberStatus.ALIVE, MemberStatus.SUSPECT, MemberStatus.DEAD, MemberStatus.LEFT);
-        List<MemberRecord> rumours = statuses.stream()
+        List<MemberRecord> records = statuses.stream()
                 .map(status ->
                         new MemberRecord("b" + statuses.indexOf(status), "10.0.0.1:7001", "10.0.0.1:7002", status, 5))
                 .toList();
-        kinds.forEach((name, kind) -> {
+        kindsByName.forEach((name, kind) -> {
             MembershipMessage message = new MembershipMessage(
                     kind,
                     "b1",
                     7,
                     kind == MessageKind.PING_REQUEST ? "10.0.0.2:7001" : "",
-                    rumours,
+                    records,
                     kind == MessageKind.PAYLOAD ? new byte[] {1, 2, 3} : null);
-            fixture.assertMatches("membership." + name, wire.encode(message));
-            MembershipMessage read = wire.decode(fixture.bytes("membership." + name));
+            fixture.assertMatches("membership." + name, codec.encode(message));
+            MembershipMessage decoded = codec.decode(fixture.bytes("membership." + name));
             assertEquals(
                     List.of(
                             message.kind(),
@@ -97,19 +97,24 @@
                             message.correlationId(),
                             message.text(),
                             message.records()),
-                    List.of(read.kind(), read.sender(), read.correlationId(), read.text(), read.records()));
-            assertArrayEquals(message.payload(), read.payload());
+                    List.of(
+                            decoded.kind(),
+                            decoded.sender(),
+                            decoded.correlationId(),
+                            decoded.text(),
+                            decoded.records()));
+            assertArrayEquals(message.payload(), decoded.payload());
         });
     }
 
-    private static String said(List<PeerMessage.Text> all) {
-        return all.stream()
-                .map(say -> say.recipient() + " " + say.correlationId() + " " + say.text())
+    private static String sortedLines(List<PeerMessage.Text> messages) {
+        return messages.stream()
+                .map(message -> message.recipient() + " " + message.correlationId() + " " + message.text())
                 .sorted()
                 .collect(Collectors.joining("\n"));
     }
 
-    private static LeaderElection terms(String... voters) {
+    private static LeaderElection election(String... voters) {
         return new LeaderElection(
                 Duration.ZERO,
                 "b1",
@@ -121,27 +126,29 @@
     }
 
     @Test
-    void anElectionIsHeldInTheSameWords() {
-        LeaderElection terms = terms("b1", "b2", "b3");
-        fixture.assertMatches("election.granted", said(terms.receive(LATER, "b2", 9, "V/7")));
-        fixture.assertMatches("election.refused", said(terms.receive(LATER, "b3", 10, "V/6")));
-        terms.receive(LATER, "b3", 11, "H/7/b2");
-        fixture.assertMatches("election.leader", terms.leaderAnnouncement(LATER).orElseThrow());
-        fixture.assertMatches("election.asks", said(terms("b1", "b2", "b3").tick(LATER)));
+    void electionMessagesMatch() {
+        LeaderElection election = election("b1", "b2", "b3");
+        fixture.assertMatches("election.granted", sortedLines(election.receive(UPTIME, "b2", 9, "V/7")));
+        fixture.assertMatches("election.refused", sortedLines(election.receive(UPTIME, "b3", 10, "V/6")));
+        election.receive(UPTIME, "b3", 11, "H/7/b2");
+        fixture.assertMatches(
+                "election.leader", election.leaderAnnouncement(UPTIME).orElseThrow());
+        fixture.assertMatches(
+                "election.asks", sortedLines(election("b1", "b2", "b3").tick(UPTIME)));
     }
 
     @Test
-    void sharesOfBudgetsAreAskedForAndGrantedInTheSameWords() {
-        QuotaConsumer spender = new QuotaConsumer() {
+    void quotaMessagesMatch() {
+        QuotaConsumer consumer = new QuotaConsumer() {
             @Override
-            public QuotaDemand demand(Duration now, FleetQuota budget) {
+            public QuotaDemand demand(Duration now, FleetQuota quota) {
                 return new QuotaDemand(2, 8);
             }
 
             @Override
-            public void setAllowance(FleetQuota budget, long share, Duration until) {}
+            public void setAllowance(FleetQuota quota, long amount, Duration until) {}
         };
-        FleetQuota budget = new FleetQuota(
+        FleetQuota quota = new FleetQuota(
                 "calls",
                 "calls",
                 100,
@@ -150,77 +157,77 @@
                 0.01,
                 Duration.ofSeconds(1),
                 Map.of());
-        LeaderElection led = terms("b1", "b2", "b3");
-        led.receive(LATER, "b3", 11, "H/7/b2");
+        LeaderElection followingElection = election("b1", "b2", "b3");
+        followingElection.receive(UPTIME, "b3", 11, "H/7/b2");
         fixture.assertMatches(
                 "budgets.asks",
-                said(new QuotaCoordinator(
-                                LATER,
+                sortedLines(new QuotaCoordinator(
+                                UPTIME,
                                 new LeaseHolder("b1", 0xabc),
-                                List.of(budget),
-                                led,
+                                List.of(quota),
+                                followingElection,
                                 new SplittableRandom(1),
-                                spender,
+                                consumer,
                                 line -> {})
-                        .tick(LATER)));
-        LeaderElection leads = terms("b1");
-        leads.tick(LATER);
-        QuotaCoordinator sharing = new QuotaCoordinator(
-                LATER,
+                        .tick(UPTIME)));
+        LeaderElection leadingElection = election("b1");
+        leadingElection.tick(UPTIME);
+        QuotaCoordinator leadingCoordinator = new QuotaCoordinator(
+                UPTIME,
                 new LeaseHolder("b1", 0xabc),
-                List.of(budget),
-                leads,
+                List.of(quota),
+                leadingElection,
                 new SplittableRandom(1),
-                spender,
+                consumer,
                 line -> {});
-        sharing.tick(LATER);
-        leads.tick(LATER.plusMillis(1900));
-        List<PeerMessage.Text> all = new ArrayList<>();
+        leadingCoordinator.tick(UPTIME);
+        leadingElection.tick(UPTIME.plusMillis(1900));
+        List<PeerMessage.Text> messages = new ArrayList<>();
         for (int ms = 0; ms < 8000; ms += 20) {
-            leads.tick(LATER.plusMillis(ms));
-            sharing.tick(LATER.plusMillis(ms));
+            leadingElection.tick(UPTIME.plusMillis(ms));
+            leadingCoordinator.tick(UPTIME.plusMillis(ms));
         }
-        all.addAll(sharing.receive(LATER.plusMillis(8000), "b9", 5, "Q/5/calls/7/0/0/0/3"));
-        fixture.assertMatches("budgets.grants", said(all));
-        fixture.assertMatches("budgets.state", sharing.statusJson(LATER.plusMillis(8000)));
+        messages.addAll(leadingCoordinator.receive(UPTIME.plusMillis(8000), "b9", 5, "Q/5/calls/7/0/0/0/3"));
+        fixture.assertMatches("budgets.grants", sortedLines(messages));
+        fixture.assertMatches("budgets.state", leadingCoordinator.statusJson(UPTIME.plusMillis(8000)));
     }
 
     @Test
-    void theViewIsAskedForInTheSameWords() {
-        ViewManager sight = new ViewManager(
+    void viewMessagesMatch() {
+        ViewManager view = new ViewManager(
                 Duration.ZERO,
                 new ViewManager.Setup(ViewSettings.defaults(), 7, 4, term -> true, new SplittableRandom(1), line -> {}),
                 new MemberTable("b1", "10.0.0.1:7001", "-", 1),
-                terms("b1", "b2", "b3"));
-        StringBuilder all = new StringBuilder();
-        List<PeerMessage> says = new ArrayList<>();
+                election("b1", "b2", "b3"));
+        StringBuilder lines = new StringBuilder();
+        List<PeerMessage> messages = new ArrayList<>();
         for (int ms = 0; ms < 1000; ms += 50) {
-            says.addAll(sight.tick(Duration.ofMillis(ms)));
+            messages.addAll(view.tick(Duration.ofMillis(ms)));
         }
-        for (String what : List.of("WP/", "WQ/0/-/4/3/", "WG/0/1")) {
-            says.addAll(sight.receive(Duration.ofSeconds(1), "b2", 5, what));
+        for (String text : List.of("WP/", "WQ/0/-/4/3/", "WG/0/1")) {
+            messages.addAll(view.receive(Duration.ofSeconds(1), "b2", 5, text));
         }
-        for (PeerMessage say : says) {
-            PeerMessage.Text text = assertInstanceOf(PeerMessage.Text.class, say);
-            all.append(text.recipient())
+        for (PeerMessage message : messages) {
+            PeerMessage.Text text = assertInstanceOf(PeerMessage.Text.class, message);
+            lines.append(text.recipient())
                     .append(' ')
                     .append(text.correlationId())
                     .append(' ')
                     .append(text.text())
                     .append('\n');
         }
-        fixture.assertMatches("view.words", all.toString());
-        fixture.assertMatches("view.state", sight.json(Duration.ofSeconds(1)));
+        fixture.assertMatches("view.words", lines.toString());
+        fixture.assertMatches("view.state", view.json(Duration.ofSeconds(1)));
     }
 
     @Test
-    void whoComesBackTellsTheSame() throws Exception {
-        try (ManualClockLoop on = new ManualClockLoop();
-                FileStateDirectory disk = new FileStateDirectory(folder)) {
-            RecoveryCoordinator rejoin = on.callOnLoop(() -> {
+    void recoveryReportMatches() throws Exception {
+        try (ManualClockLoop manualLoop = new ManualClockLoop();
+                FileStateDirectory stateDirectory = new FileStateDirectory(folder)) {
+            RecoveryCoordinator recovery = manualLoop.callOnLoop(() -> {
                 try {
                     return new RecoveryCoordinator(
-                            new NodeEnvironment(on.loop, disk, () -> 1_700_000_000_000L),
+                            new NodeEnvironment(manualLoop.loop, stateDirectory, () -> 1_700_000_000_000L),
                             new NodeSettings(
                                     "b1",
                                     new java.net.InetSocketAddress("127.0.0.1", 0),
@@ -236,11 +243,11 @@
                     throw new java.io.UncheckedIOException(e);
                 }
             });
-            fixture.assertMatches("recovery.tells", on.callOnLoop(rejoin::recoveryReport));
+            fixture.assertMatches("recovery.tells", manualLoop.callOnLoop(recovery::recoveryReport));
             fixture.assertMatches(
                     "recovery.state",
-                    on.callOnLoop(rejoin::statusJson).replaceAll("\"(since_ms)\":[0-9]+", "\"$1\":0"));
-            on.callOnLoop(() -> rejoin.close(Duration.ofSeconds(1)));
+                    manualLoop.callOnLoop(recovery::statusJson).replaceAll("\"(since_ms)\":[0-9]+", "\"$1\":0"));
+            manualLoop.callOnLoop(() -> recovery.close(Duration.ofSeconds(1)));
         }
     }
 }
--- a/src/test/java/merlinlever/compatibility/FileBytesTest.java
+++ b/src/test/java/merlinlever/compatibility/FileBytesTest.java
@@ -25,7 +25,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Files in state folders, and the tables that sites publish. */
+/** Compatibility with version 0.2 of the files in state directories and of the route tables that sites publish. */
 class FileBytesTest {
 
     private final Fixture fixture = new Fixture("files.txt");
@@ -34,8 +34,8 @@
     Path folder;
 
     @Test
-    void theRecoveryFile() {
-        PersistedState memory = new PersistedState(
+    void recoveryFileMatches() {
+        PersistedState state = new PersistedState(
                 "b1@10.0.0.1:7001",
                 65,
                 9,
@@ -43,42 +43,42 @@
                 1_700_000_000_000L,
                 12.5,
                 List.of("10.0.0.2:7001", "10.0.0.3:7001"));
-        fixture.assertMatches("recovery", RecoveryFile.encode(memory));
+        fixture.assertMatches("recovery", RecoveryFile.encode(state));
         assertEquals(
-                Optional.of(memory),
+                Optional.of(state),
                 RecoveryFile.decode(fixture.bytes("recovery")).state());
     }
 
     @Test
-    void theFileOfOwnEntries() {
-        ReplicatedStore.PersistedEntries kept = new ReplicatedStore.PersistedEntries(
+    void entryFileMatches() {
+        ReplicatedStore.PersistedEntries entries = new ReplicatedStore.PersistedEntries(
                 3,
                 18,
                 List.of(
                         new VersionedEntry("b1", "trial/t", 3, 17, new byte[] {1, 2, 3}),
                         new VersionedEntry("b1", "gone", 2, 4, null)));
-        fixture.assertMatches("entries", EntryFile.encode("b1", kept));
-        ReplicatedStore.PersistedEntries read =
+        fixture.assertMatches("entries", EntryFile.encode("b1", entries));
+        ReplicatedStore.PersistedEntries decoded =
                 EntryFile.decode("b1", fixture.bytes("entries")).orElseThrow();
-        assertArrayEquals(EntryFile.encode("b1", kept), EntryFile.encode("b1", read));
-        assertEquals(List.of(3L, 18L), List.of(read.incarnation(), read.sequence()));
+        assertArrayEquals(EntryFile.encode("b1", entries), EntryFile.encode("b1", decoded));
+        assertEquals(List.of(3L, 18L), List.of(decoded.incarnation(), decoded.sequence()));
     }
 
     @Test
-    void theLedgerOfTheHost() throws Exception {
+    void instanceLedgerMatches() throws Exception {
         Files.write(folder.resolve("instances"), fixture.text("instances").getBytes(StandardCharsets.UTF_8));
-        InstanceLedger.InstanceRecord noted = new InstanceLedger.InstanceRecord(true, "tok", 4711, 99);
+        InstanceLedger.InstanceRecord record = new InstanceLedger.InstanceRecord(true, "tok", 4711, 99);
         try (InstanceLedger ledger = new InstanceLedger(folder)) {
-            assertEquals(noted, ledger.of("web-1"));
+            assertEquals(record, ledger.of("web-1"));
             ledger.note("web-1", InstanceLedger.InstanceRecord.NOTHING);
-            ledger.note("web-1", noted);
+            ledger.note("web-1", record);
         }
         fixture.assertMatches("instances", Files.readAllBytes(folder.resolve("instances")));
     }
 
     @Test
-    void theTableOfASite() throws Exception {
-        Restrictions some = new Restrictions(
+    void routeTablesMatch() throws Exception {
+        Restrictions restrictions = new Restrictions(
                 new TreeSet<>(List.of("s2", "s3")), new TreeSet<>(List.of("s4")), true, 3, true, true, false);
         for (Relation relation : List.of(Relation.CUSTOMER, Relation.PEER, Relation.PROVIDER)) {
             RouteTable table = RouteTable.of(
@@ -99,7 +99,15 @@
                                     null,
                                     Restrictions.NONE),
                             new Route(
-                                    "orders", "records", "10.1.0.2:7100", 5, 0, true, List.of("s1", "s2"), "s1", some),
+                                    "orders",
+                                    "records",
+                                    "10.1.0.2:7100",
+                                    5,
+                                    0,
+                                    true,
+                                    List.of("s1", "s2"),
+                                    "s1",
+                                    restrictions),
                             new Route(
                                     "none",
                                     "records",
--- a/src/test/java/merlinlever/compatibility/Fixture.java
+++ b/src/test/java/merlinlever/compatibility/Fixture.java
@@ -11,56 +11,56 @@
 import java.util.TreeMap;
 
 /**
- * Bytes that version 0.2 wrote before the types got their present names: a file of entries, one on a line, each a name and its
- * bytes in hex or as text. They are never written anew; a program that reads or writes something else is not compatible.
+ * Bytes written by version 0.2. Each line of the file is an entry of a name, a format and the bytes, in hex or as text.
+ * The files are never regenerated: a program that writes other bytes is incompatible with version 0.2.
  */
 public final class Fixture {
 
     private final Map<String, byte[]> entries = new TreeMap<>();
 
-    /** @param file under {@code compatibility/} of the test resources */
+    /** @param file name of a file in {@code compatibility/} of the test resources */
     public Fixture(String file) {
         try (InputStream in = Fixture.class.getResourceAsStream("/compatibility/" + file)) {
             for (String line : new String(in.readAllBytes(), StandardCharsets.UTF_8).split("\n")) {
-                String[] part = line.split(" ", 3);
+                String[] fields = line.split(" ", 3);
                 entries.put(
-                        part[0],
-                        part[1].equals("hex")
-                                ? HexFormat.of().parseHex(part[2])
-                                : unescaped(part[2]).getBytes(StandardCharsets.UTF_8));
+                        fields[0],
+                        fields[1].equals("hex")
+                                ? HexFormat.of().parseHex(fields[2])
+                                : unescape(fields[2]).getBytes(StandardCharsets.UTF_8));
             }
         } catch (IOException e) {
             throw new IllegalStateException(e);
         }
     }
 
-    private static String unescaped(String text) {
+    private static String unescape(String text) {
         return text.replace("\\r", "\r").replace("\\n", "\n");
     }
 
-    /** The bytes of an entry. */
+    /** Returns the bytes of an entry. */
     public byte[] bytes(String name) {
         byte[] entry = entries.get(name);
         assertNotNull(entry, "no entry " + name);
         return entry;
     }
 
-    /** An entry as text. */
+    /** Returns an entry as text. */
     public String text(String name) {
         return new String(bytes(name), StandardCharsets.UTF_8);
     }
 
-    /** The program writes the same bytes now. */
+    /** Asserts that the written bytes equal the bytes of an entry. */
     public void assertMatches(String name, byte[] written) {
         byte[] expected = bytes(name);
-        // As text in the message where it is text.
+        // Compares strings, so that the failure message is readable.
         assertEquals(
                 new String(expected, StandardCharsets.ISO_8859_1),
                 new String(written, StandardCharsets.ISO_8859_1),
                 name);
     }
 
-    /** The program writes the same text now. */
+    /** Asserts that the written text equals the text of an entry. */
     public void assertMatches(String name, String written) {
         assertMatches(name, written.getBytes(StandardCharsets.UTF_8));
     }
--- a/src/test/java/merlinlever/compatibility/NamesTest.java
+++ b/src/test/java/merlinlever/compatibility/WireNamesTest.java
@@ -30,23 +30,29 @@
 import merlinlever.testing.faults.script.FaultScript;
 import org.junit.jupiter.api.Test;
 
-/** Names that leave the program: constants in JSON, on the wire, in files and commands; and the members of JSON objects. */
-class NamesTest {
+/**
+ * Compatibility with version 0.2 of the names of constants in JSON, datagrams, files and commands, and of the members
+ * of JSON objects.
+ */
+class WireNamesTest {
 
     private final Fixture fixture = new Fixture("names.txt");
 
-    /** The constants in their order, which is that of codes in datagrams and of counts in JSON. */
-    private static <E extends Enum<E> & WireNamed> void named(String names, List<E> constants) {
+    /**
+     * Asserts the names of all constants in declaration order, which determines the codes in datagrams and the counts
+     * in JSON.
+     */
+    private static <E extends Enum<E> & WireNamed> void assertWireNames(String expectedNames, List<E> constants) {
         assertEquals(List.of(constants.get(0).getDeclaringClass().getEnumConstants()), constants);
-        assertEquals(names, constants.stream().map(WireNamed::wireName).collect(Collectors.joining(", ")));
-        for (E each : constants) {
-            assertEquals(each, WireNamed.parse(each.getDeclaringClass(), each.wireName()));
+        assertEquals(expectedNames, constants.stream().map(WireNamed::wireName).collect(Collectors.joining(", ")));
+        for (E constant : constants) {
+            assertEquals(constant, WireNamed.parse(constant.getDeclaringClass(), constant.wireName()));
         }
     }
 
     @Test
     void namesOfDecisionsAndMembership() {
-        named(
+        assertWireNames(
                 "leaving, hung, memory, hopeless, chance, late, unsettled",
                 List.of(
                         RejectionReason.DRAINING,
@@ -56,10 +62,10 @@
                         RejectionReason.RANDOM,
                         RejectionReason.EXPIRED,
                         RejectionReason.IDEMPOTENCY_UNKNOWN));
-        named(
+        assertWireNames(
                 "alive, suspect, dead, left",
                 List.of(MemberStatus.ALIVE, MemberStatus.SUSPECT, MemberStatus.DEAD, MemberStatus.LEFT));
-        named(
+        assertWireNames(
                 "ping, ack, ask_for, nack, sync, sync_back, recall, recalled, say, carry",
                 List.of(
                         MessageKind.PING,
@@ -76,21 +82,21 @@
 
     @Test
     void namesOfOrdersAndInstances() {
-        named(
+        assertWireNames(
                 "start, drain, stop, restart",
                 List.of(
                         OrderTracker.OrderVerb.START,
                         OrderTracker.OrderVerb.DRAIN,
                         OrderTracker.OrderVerb.STOP,
                         OrderTracker.OrderVerb.RESTART));
-        named(
+        assertWireNames(
                 "under way, done, superseded, given up",
                 List.of(
                         OrderTracker.OrderProgress.UNDER_WAY,
                         OrderTracker.OrderProgress.DONE,
                         OrderTracker.OrderProgress.SUPERSEDED,
                         OrderTracker.OrderProgress.GIVEN_UP));
-        named(
+        assertWireNames(
                 "down, there, starting, cold, warm, slow, hung, draining, unreached, given_up",
                 List.of(
                         InstanceSupervisor.InstanceState.DOWN,
@@ -107,7 +113,7 @@
 
     @Test
     void namesOfQuorumRecoveryAndRoutes() {
-        named(
+        assertWireNames(
                 "whole, most, few, alone, disagreeing, returning",
                 List.of(
                         QuorumStatus.FULL,
@@ -116,18 +122,18 @@
                         QuorumStatus.ISOLATED,
                         QuorumStatus.CONFLICTING,
                         QuorumStatus.RECOVERING));
-        named(
+        assertWireNames(
                 "cold, rejoined, reconciled, warm",
                 List.of(RecoveryStage.COLD, RecoveryStage.REJOINED, RecoveryStage.RECONCILED, RecoveryStage.WARM));
-        named(
+        assertWireNames(
                 "kept, aged, thrown away, absent",
                 List.of(
                         Finding.Disposition.KEPT,
                         Finding.Disposition.AGED,
                         Finding.Disposition.DISCARDED,
                         Finding.Disposition.ABSENT));
-        named("customer, peer, provider", List.of(Relation.CUSTOMER, Relation.PEER, Relation.PROVIDER));
-        named(
+        assertWireNames("customer, peer, provider", List.of(Relation.CUSTOMER, Relation.PEER, Relation.PROVIDER));
+        assertWireNames(
                 "good, slow, away",
                 List.of(
                         LocalServiceHealth.HealthState.HEALTHY,
@@ -137,7 +143,7 @@
 
     @Test
     void namesOfScriptedFaultsAndPowerLosses() {
-        named(
+        assertWireNames(
                 "kill, term, pause, resume, restart, power, isolate, partition, delay, drop, duplicate, slow, reset, heal",
                 List.of(
                         FaultScript.FaultKind.KILL,
@@ -154,7 +160,7 @@
                         FaultScript.FaultKind.SLOW,
                         FaultScript.FaultKind.RESET,
                         FaultScript.FaultKind.HEAL));
-        named(
+        assertWireNames(
                 "all, last-first, half, torn, emptied, copied, clock-back, twice, partition, slow-link",
                 List.of(
                         PowerLoss.PowerLossKind.ALL,
@@ -171,7 +177,7 @@
 
     @Test
     void namesOfViewAndQuotaFaults() {
-        named(
+        assertWireNames(
                 "parted, one-cut-off, one-way, pause, kill, flap, slow",
                 List.of(
                         ViewFaults.ViewFaultKind.PARTED,
@@ -181,7 +187,7 @@
                         ViewFaults.ViewFaultKind.KILL,
                         ViewFaults.ViewFaultKind.FLAP,
                         ViewFaults.ViewFaultKind.SLOW));
-        named(
+        assertWireNames(
                 "kill, kill-leader, pause, pause-leader, partition, three-sides, slow-leader, lossy, power, whole",
                 List.of(
                         QuotaFaults.QuotaFaultKind.KILL,
@@ -197,22 +203,22 @@
     }
 
     @Test
-    void namesAreReadInAnyCaseAndNoOthers() {
+    void namesAreParsedInAnyCaseAndOthersRejected() {
         assertEquals(OrderTracker.OrderVerb.START, WireNamed.parse(OrderTracker.OrderVerb.class, "Start"));
         assertThrows(IllegalArgumentException.class, () -> WireNamed.parse(OrderTracker.OrderVerb.class, ""));
     }
 
     @Test
-    void theStateOfAnInstance() throws Exception {
+    void instanceStatusMatches() throws Exception {
         Map<RejectionReason, Long> rejected = new EnumMap<>(RejectionReason.class);
         for (RejectionReason reason : RejectionReason.values()) {
             rejected.put(reason, rejected.size() + 1L);
         }
-        ControllerMetrics figures = new ControllerMetrics(
+        ControllerMetrics metrics = new ControllerMetrics(
                 new ControllerMetrics.RequestCounts(1, 2, 3, rejected, 8), 4.5, 0.25, 0.125, false, false, 1);
-        fixture.assertMatches("state.warm", StatusReport.toJson(false, true, 3, 1000, figures, "{\"stage\":\"warm\"}"));
+        fixture.assertMatches("state.warm", StatusReport.toJson(false, true, 3, 1000, metrics, "{\"stage\":\"warm\"}"));
         fixture.assertMatches("state.starting", StatusReport.toJson(false, false, 0, 10, null, null));
-        InstanceStatus told = new InstanceStatus(
+        InstanceStatus status = new InstanceStatus(
                 "warm",
                 true,
                 false,
@@ -226,7 +232,7 @@
                 8,
                 List.of(new InstanceStatus.QuotaShare("calls", 100, 11, 1760, 2, "b1", 5)),
                 new InstanceStatus.ViewStatus("whole", 1000, "3.1", "801ad0959cc1"));
-        fixture.assertMatches("told", new ObjectMapper().writeValueAsString(told));
+        fixture.assertMatches("told", new ObjectMapper().writeValueAsString(status));
         fixture.assertMatches("dns.counts", new ZoneServerMetrics(new SimpleMeterRegistry()).summary());
     }
 }
