--- a/src/main/java/merlinlever/cli/ConfigurationReloader.java
+++ b/src/main/java/merlinlever/cli/ConfigurationReloader.java
@@ -17,7 +17,7 @@
 
     /** Applies a valid configuration. */
     interface Target {
-        /** Applies the whole configuration, or nothing if the target finds an invalid value in it. */
+        /** Applies the whole configuration, or no part of it if the target finds an invalid value. */
         void apply(ServeConfiguration configuration) throws InvalidConfigurationException;
     }
 
--- a/src/test/java/merlinlever/cli/ServeConfigurationTest.java
+++ b/src/test/java/merlinlever/cli/ServeConfigurationTest.java
@@ -106,7 +106,7 @@
         assertRejected(VALID.substring(0, 300), "is not a JSON object");
     }
 
-    /** Guards against a file error that is not reported as a configuration error. */
+    /** Guards against a file error without an {@link InvalidConfigurationException}. */
     @Test
     void invalidUtf8AndUnreadableFileAreRejected() {
         assertThrows(InvalidConfigurationException.class, () -> read(new byte[] {'{', (byte) 0xff, '}'}));
--- a/src/test/java/merlinlever/compatibility/FileBytesTest.java
+++ b/src/test/java/merlinlever/compatibility/FileBytesTest.java
@@ -67,11 +67,11 @@
     @Test
     void instanceLedgerMatches() throws Exception {
         Files.write(folder.resolve("instances"), fixture.text("instances").getBytes(StandardCharsets.UTF_8));
-        InstanceLedger.InstanceRecord record = new InstanceLedger.InstanceRecord(true, "tok", 4711, 99);
+        InstanceLedger.InstanceRecord instanceRecord = new InstanceLedger.InstanceRecord(true, "tok", 4711, 99);
         try (InstanceLedger ledger = new InstanceLedger(folder)) {
-            assertEquals(record, ledger.of("web-1"));
+            assertEquals(instanceRecord, ledger.of("web-1"));
             ledger.note("web-1", InstanceLedger.InstanceRecord.NOTHING);
-            ledger.note("web-1", record);
+            ledger.note("web-1", instanceRecord);
         }
         fixture.assertMatches("instances", Files.readAllBytes(folder.resolve("instances")));
     }
