--- a/src/main/java/merlinlever/cli/ServeCommand.java
+++ b/src/main/java/merlinlever/cli/ServeCommand.java
@@ -20,9 +20,9 @@
 import merlinlever.controller.settings.ControllerSettings;
 
 /**
- * The {@code serve} command, which runs one backend in one process. The command reads the configuration, assembles the backend
- * with its links to other programs, warms up, listens, and runs the event loop until a graceful shutdown has finished.
- * SIGHUP reloads the configuration ({@link ConfigurationReloader}), SIGTERM starts the shutdown
+ * The {@code serve} command, which runs one backend in one process. The command reads the configuration, assembles the
+ * backend with its links to other programs, warms up, listens, and runs the event loop until a graceful shutdown has
+ * finished. SIGHUP reloads the configuration ({@link ConfigurationReloader}), SIGTERM starts the shutdown
  * ({@link GracefulShutdown}).
  */
 public final class ServeCommand implements ProcessSignals.Subscriber {
--- a/src/test/java/merlinlever/cli/WarmUpTest.java
+++ b/src/test/java/merlinlever/cli/WarmUpTest.java
@@ -12,7 +12,8 @@
 class WarmUpTest {
 
     /**
-     * Guards against a warm-up that makes the startup too long on a slow processor, as indicated by the time before the warm-up.
+     * Guards against a warm-up that makes the startup too long on a slow processor, as indicated by the time before the
+     * warm-up.
      */
     @Test
     void limitIsShorterAfterASlowStart() {
