--- a/src/main/java/merlinlever/cli/FleetAssembly.java
+++ b/src/main/java/merlinlever/cli/FleetAssembly.java
@@ -57,7 +57,7 @@
         List<String> voters = List.of(values.text("recovery.voters", "").split(","));
         if (voters.contains("")) {
             throw new InvalidConfigurationException(
-                    "the configuration's recovery.voters has to list the voters, the same on all backends");
+                    "with budgets the configuration's recovery.voters has to list the voters, the same on all backends");
         }
         // Unique for this process: no other process of this backend starts in the same millisecond with the same PID.
         long incarnation = System.currentTimeMillis() << INCARNATION_TIME_SHIFT
--- a/src/test/java/merlinlever/compatibility/WireNamesTest.java
+++ b/src/test/java/merlinlever/compatibility/NamesTest.java
@@ -34,7 +34,7 @@
  * Compatibility with version 0.2 of the names of constants in JSON, datagrams, files and commands, and of the members
  * of JSON objects.
  */
-class WireNamesTest {
+class NamesTest {
 
     private final Fixture fixture = new Fixture("names.txt");
 
