--- a/src/main/java/merlinlever/host/api/ReportRenderer.java
+++ b/src/main/java/merlinlever/host/api/ReportRenderer.java
@@ -116,7 +116,7 @@
                     "its agent " + peer.member().name() + " ("
                             + peer.member().status().wireName() + ") not reached for " + ageMillis
                             + " ms; it was " + instance.path("state").asText() + " then");
-            instance.put("state", InstanceSupervisor.InstanceState.UNREACHED.wireName());
+            instance.put("state", InstanceSupervisor.InstanceState.UNREACHABLE.wireName());
         }
         return instance;
     }
--- a/src/main/java/merlinlever/host/disk/InstanceLedger.java
+++ b/src/main/java/merlinlever/host/disk/InstanceLedger.java
@@ -29,18 +29,18 @@
     /**
      * The record of one instance.
      *
-     * @param wanted whether it is meant to run
+     * @param desired whether it is meant to run
      * @param token of its last launch, or empty
      * @param pid 0 before the launch is known to have been made
      * @param startTicks when the process began, in the kernel's clock ticks since boot: a reused pid has another value
      */
     public record InstanceRecord(
-            @JsonProperty("wanted") boolean wanted,
+            @JsonProperty("wanted") boolean desired,
             @JsonProperty("token") String token,
             @JsonProperty("pid") long pid,
             @JsonProperty("startTicks") long startTicks) {
         /** The record of an instance that was never recorded. */
-        public static final InstanceRecord NOTHING = new InstanceRecord(false, "", 0, 0);
+        public static final InstanceRecord NONE = new InstanceRecord(false, "", 0, 0);
 
         /** The record of a launch that is about to be made. */
         public static InstanceRecord launching(String token) {
@@ -48,13 +48,13 @@
         }
 
         /** This record with another desired state. */
-        public InstanceRecord withWanted(boolean isWanted) {
-            return new InstanceRecord(isWanted, token, pid, startTicks);
+        public InstanceRecord withDesired(boolean isDesired) {
+            return new InstanceRecord(isDesired, token, pid, startTicks);
         }
 
         /** This record with the process that is known now. */
         public InstanceRecord withProcess(long processId, long processStartTicks) {
-            return new InstanceRecord(wanted, token, processId, processStartTicks);
+            return new InstanceRecord(desired, token, processId, processStartTicks);
         }
     }
 
@@ -137,13 +137,13 @@
         return List.copyOf(records.keySet());
     }
 
-    /** The record of the instance, {@link InstanceRecord#NOTHING} if it has none. */
-    public InstanceRecord of(String instance) {
-        return records.getOrDefault(instance, InstanceRecord.NOTHING);
+    /** The record of the instance, {@link InstanceRecord#NONE} if it has none. */
+    public InstanceRecord recordOf(String instance) {
+        return records.getOrDefault(instance, InstanceRecord.NONE);
     }
 
     /** Replaces the record of the instance. Returns when it is on the disk; after a failure the old record stands. */
-    public void note(String instance, InstanceRecord updated) throws IOException {
+    public void update(String instance, InstanceRecord updated) throws IOException {
         InstanceRecord before = records.put(instance, updated);
         try {
             folder.replace(FILE_NAME, serialize());
--- a/src/main/java/merlinlever/host/run/HostAgent.java
+++ b/src/main/java/merlinlever/host/run/HostAgent.java
@@ -81,14 +81,14 @@
 
     /** Adopts the process of the instance if there is one, so that none is launched twice; else starts it if desired. */
     private void recover(HostedInstance instance) {
-        InstanceRecord recorded = ledger.of(instance.name());
+        InstanceRecord recorded = ledger.recordOf(instance.name());
         Optional<ProcessIdentity> process = findProcess(recorded);
         if (process.isPresent()) {
             adopt(instance, recorded, process.get());
             return;
         }
-        boolean isNew = recorded.equals(InstanceRecord.NOTHING);
-        if (isNew ? instance.spec().launchedInitially() : recorded.wanted()) {
+        boolean isNew = recorded.equals(InstanceRecord.NONE);
+        if (isNew ? instance.spec().launchedInitially() : recorded.desired()) {
             Duration delay = Duration.ofNanos(random.nextLong(launchSpread.toNanos() + 1));
             instance.supervisor().startAfter(now(), delay);
         }
@@ -110,7 +110,7 @@
         InstanceSupervisor supervisor = instance.supervisor();
         supervisor.processStarted(now());
         addEvent(instance, "taken over, pid " + process.pid());
-        if (recorded.wanted()) {
+        if (recorded.desired()) {
             supervisor.start(now());
         } else {
             supervisor.drain();
@@ -121,7 +121,7 @@
     /** Returns whether the new record is on disk. */
     private boolean updateRecord(HostedInstance instance, UnaryOperator<InstanceRecord> change) {
         try {
-            ledger.note(instance.name(), change.apply(ledger.of(instance.name())));
+            ledger.update(instance.name(), change.apply(ledger.recordOf(instance.name())));
             if (ledgerFailed) {
                 log.write(LogEvent.info("state-writable-again"));
             }
@@ -231,7 +231,7 @@
 
     /** NaN where the instance is warming up, or its capacity is not known. */
     private double comparableCapacity(InstanceSupervisor supervisor) {
-        if (supervisor.state(now()) == InstanceState.UNREACHED) {
+        if (supervisor.state(now()) == InstanceState.UNREACHABLE) {
             return Double.NaN;
         }
         return supervisor
@@ -268,7 +268,7 @@
             String id, OrderTracker.OrderVerb verb, boolean immediate, List<Integer> indexes) {
         if (orders.find(id).isEmpty()) {
             for (int index : indexes) {
-                if (!updateRecord(instances.get(index), record -> record.withWanted(verb.desiresInstance()))) {
+                if (!updateRecord(instances.get(index), record -> record.withDesired(verb.desiresInstance()))) {
                     return Optional.empty();
                 }
             }
@@ -317,7 +317,7 @@
     public void drainAll() {
         for (HostedInstance instance : instances) {
             instance.supervisor().drain();
-            updateRecord(instance, record -> record.withWanted(false));
+            updateRecord(instance, record -> record.withDesired(false));
         }
     }
 
--- a/src/main/java/merlinlever/host/state/InstanceSupervisor.java
+++ b/src/main/java/merlinlever/host/state/InstanceSupervisor.java
@@ -18,7 +18,7 @@
         /** No process exists: none is desired, or the next launch is due later. */
         DOWN("down"),
         /** A process exists, of a kind that does not report its status: more is not known. */
-        THERE("there"),
+        UNMONITORED("there"),
         /** The process has not reported its status yet. */
         STARTING("starting"),
         /** It reports that it is still warming up. */
@@ -32,7 +32,7 @@
         /** It answers what it has read, then it ends. */
         DRAINING("draining"),
         /** The process exists and has not answered in time. */
-        UNREACHED("unreached"),
+        UNREACHABLE("unreached"),
         /** It crashed too often, and is left down until an operator starts it. */
         GIVEN_UP("given_up");
 
@@ -272,13 +272,13 @@
             case STARTING -> InstanceState.STARTING;
             case GIVEN_UP -> InstanceState.GIVEN_UP;
             case DRAINING, KILLING -> InstanceState.DRAINING;
-            case RUNNING -> reportsStatus ? runningState(now) : InstanceState.THERE;
+            case RUNNING -> reportsStatus ? runningState(now) : InstanceState.UNMONITORED;
         };
     }
 
     private InstanceState runningState(Duration now) {
         if (isSilent(now)) {
-            return InstanceState.UNREACHED;
+            return InstanceState.UNREACHABLE;
         }
         if (lastStatus == null) {
             return InstanceState.STARTING;
@@ -307,7 +307,7 @@
         return switch (state(now)) {
             case DOWN -> downReason(now);
             case GIVEN_UP -> "died " + recentCrashes.size() + " times, last: " + lastEnd + "; start it by hand";
-            case UNREACHED -> lastStatusAt == null
+            case UNREACHABLE -> lastStatusAt == null
                     ? "has not answered since it was launched"
                     : String.format(
                             Locale.ROOT,
@@ -318,7 +318,7 @@
                     : lastStatus.inFlight() + " operations to be answered when last heard";
             case SLOW -> "its capacity is far under that of its peers";
             case HUNG -> "no run gets on";
-            case THERE, STARTING, COLD, WARM -> "";
+            case UNMONITORED, STARTING, COLD, WARM -> "";
         };
     }
 
--- a/src/main/java/merlinlever/host/state/OrderTracker.java
+++ b/src/main/java/merlinlever/host/state/OrderTracker.java
@@ -206,10 +206,10 @@
         boolean hasSuccessor = supervisor.launches() > order.launchesBefore[position];
         return switch (supervisor.state(now)) {
             case GIVEN_UP -> OrderProgress.GIVEN_UP;
-            case THERE, COLD, WARM, SLOW -> order.verb == OrderVerb.START || hasSuccessor
+            case UNMONITORED, COLD, WARM, SLOW -> order.verb == OrderVerb.START || hasSuccessor
                     ? OrderProgress.DONE
                     : OrderProgress.UNDER_WAY;
-            case DOWN, STARTING, HUNG, DRAINING, UNREACHED -> OrderProgress.UNDER_WAY;
+            case DOWN, STARTING, HUNG, DRAINING, UNREACHABLE -> OrderProgress.UNDER_WAY;
         };
     }
 }
--- a/src/main/java/merlinlever/host/state/RollingRestart.java
+++ b/src/main/java/merlinlever/host/state/RollingRestart.java
@@ -39,7 +39,7 @@
         boolean isServing() {
             return state == InstanceSupervisor.InstanceState.WARM
                     || state == InstanceSupervisor.InstanceState.SLOW
-                    || state == InstanceSupervisor.InstanceState.THERE;
+                    || state == InstanceSupervisor.InstanceState.UNMONITORED;
         }
     }
 
@@ -252,7 +252,7 @@
                 stop(name + " is not known any more");
                 return List.of();
             }
-            if (observation.state == InstanceSupervisor.InstanceState.UNREACHED) {
+            if (observation.state == InstanceSupervisor.InstanceState.UNREACHABLE) {
                 reason = name + " is not reached: waiting for it";
                 return List.of();
             }
--- a/src/test/java/merlinlever/cli/fleet/RecoverCommandTest.java
+++ b/src/test/java/merlinlever/cli/fleet/RecoverCommandTest.java
@@ -47,7 +47,7 @@
                                 12.5,
                                 List.of()));
                 InstanceLedger ledger = new InstanceLedger(folder);
-                ledger.note("i-1", new InstanceLedger.InstanceRecord(true, "t", 1, 1));
+                ledger.update("i-1", new InstanceLedger.InstanceRecord(true, "t", 1, 1));
             }
             assertEquals(0, recover("--state", good.toString()), err::toString);
             assertTrue(
--- a/src/test/java/merlinlever/compatibility/FileBytesTest.java
+++ b/src/test/java/merlinlever/compatibility/FileBytesTest.java
@@ -69,9 +69,9 @@
         Files.write(folder.resolve("instances"), fixture.text("instances").getBytes(StandardCharsets.UTF_8));
         InstanceLedger.InstanceRecord noted = new InstanceLedger.InstanceRecord(true, "tok", 4711, 99);
         try (InstanceLedger ledger = new InstanceLedger(folder)) {
-            assertEquals(noted, ledger.of("web-1"));
-            ledger.note("web-1", InstanceLedger.InstanceRecord.NOTHING);
-            ledger.note("web-1", noted);
+            assertEquals(noted, ledger.recordOf("web-1"));
+            ledger.update("web-1", InstanceLedger.InstanceRecord.NONE);
+            ledger.update("web-1", noted);
         }
         fixture.assertMatches("instances", Files.readAllBytes(folder.resolve("instances")));
     }
--- a/src/test/java/merlinlever/compatibility/NamesTest.java
+++ b/src/test/java/merlinlever/compatibility/NamesTest.java
@@ -94,14 +94,14 @@
                 "down, there, starting, cold, warm, slow, hung, draining, unreached, given_up",
                 List.of(
                         InstanceSupervisor.InstanceState.DOWN,
-                        InstanceSupervisor.InstanceState.THERE,
+                        InstanceSupervisor.InstanceState.UNMONITORED,
                         InstanceSupervisor.InstanceState.STARTING,
                         InstanceSupervisor.InstanceState.COLD,
                         InstanceSupervisor.InstanceState.WARM,
                         InstanceSupervisor.InstanceState.SLOW,
                         InstanceSupervisor.InstanceState.HUNG,
                         InstanceSupervisor.InstanceState.DRAINING,
-                        InstanceSupervisor.InstanceState.UNREACHED,
+                        InstanceSupervisor.InstanceState.UNREACHABLE,
                         InstanceSupervisor.InstanceState.GIVEN_UP));
     }
 
--- a/src/test/java/merlinlever/host/run/HostAgentTest.java
+++ b/src/test/java/merlinlever/host/run/HostAgentTest.java
@@ -227,7 +227,7 @@
         // One is stopped: not reached, and not launched beside itself.
         long stopped = pid(1);
         signal("STOP", stopped);
-        await(1, InstanceSupervisor.InstanceState.UNREACHED, 5_000);
+        await(1, InstanceSupervisor.InstanceState.UNREACHABLE, 5_000);
         runAgentFor(Duration.ofMillis(1500));
         assertEquals(3, table().size());
         // The agent dies; one instance dies meanwhile; the next agent finds the others by pid and start.
@@ -262,15 +262,15 @@
         killAgent();
         // As after a kill between the fork and the note of it: the token alone is known.
         try (InstanceLedger edited = new InstanceLedger(folder.resolve("state"))) {
-            edited.note(
+            edited.update(
                     "t-0",
-                    new InstanceLedger.InstanceRecord(true, edited.of("t-0").token(), 0, 0));
+                    new InstanceLedger.InstanceRecord(true, edited.recordOf("t-0").token(), 0, 0));
             // And a pid that now belongs to somebody else.
-            edited.note(
+            edited.update(
                     "t-1",
                     new InstanceLedger.InstanceRecord(
                             true,
-                            edited.of("t-1").token(),
+                            edited.recordOf("t-1").token(),
                             ProcessHandle.current().pid(),
                             12345));
         }
--- a/src/test/java/merlinlever/host/state/InstanceSupervisorTest.java
+++ b/src/test/java/merlinlever/host/state/InstanceSupervisorTest.java
@@ -57,7 +57,7 @@
         assertEquals(InstanceSupervisor.InstanceState.COLD, supervisor.state(ms(300)));
         supervisor.statusReceived(ms(400), status("warm", 0));
         assertEquals(InstanceSupervisor.InstanceState.WARM, supervisor.state(ms(2900)));
-        assertEquals(InstanceSupervisor.InstanceState.UNREACHED, supervisor.state(ms(2901)));
+        assertEquals(InstanceSupervisor.InstanceState.UNREACHABLE, supervisor.state(ms(2901)));
         assertTrue(supervisor.reason(ms(4400)).startsWith("not reached for 4000 ms"));
         for (long at = 3000; at < 600_000; at += 100) {
             assertEquals(InstanceSupervisor.SupervisorAction.NONE, supervisor.nextAction(ms(at)));
--- a/src/test/java/merlinlever/host/state/RollingRestartTest.java
+++ b/src/test/java/merlinlever/host/state/RollingRestartTest.java
@@ -37,7 +37,7 @@
                 long since = ms - restartedAt[i];
                 boolean made = restartedAt[i] >= 0;
                 InstanceSupervisor.InstanceState state = deadHost[i / 4]
-                        ? InstanceSupervisor.InstanceState.UNREACHED
+                        ? InstanceSupervisor.InstanceState.UNREACHABLE
                         : since < 500
                                 ? InstanceSupervisor.InstanceState.DRAINING
                                 : made && crashes
--- a/src/test/java/merlinlever/testing/faults/disk/CrashStatesTest.java
+++ b/src/test/java/merlinlever/testing/faults/disk/CrashStatesTest.java
@@ -120,7 +120,7 @@
                     String instance = "i-" + chance.nextInt(4);
                     InstanceLedger.InstanceRecord noted = new InstanceLedger.InstanceRecord(
                             chance.nextBoolean(), "t" + i, chance.nextInt(1, 99_999), i);
-                    ledger.note(instance, noted);
+                    ledger.update(instance, noted);
                     now.put(instance, noted);
                     after.add(new java.util.TreeMap<>(now));
                     returnedAt.add(lines.size());
@@ -158,7 +158,7 @@
 
     private static boolean agrees(InstanceLedger ledger, Map<String, InstanceLedger.InstanceRecord> noted) {
         for (int i = 0; i < 4; i++) {
-            if (!ledger.of("i-" + i).equals(noted.getOrDefault("i-" + i, InstanceLedger.InstanceRecord.NOTHING))) {
+            if (!ledger.recordOf("i-" + i).equals(noted.getOrDefault("i-" + i, InstanceLedger.InstanceRecord.NONE))) {
                 return false;
             }
         }
