--- a/src/main/java/merlinlever/host/state/InstanceStatus.java
+++ b/src/main/java/merlinlever/host/state/InstanceStatus.java
@@ -5,20 +5,20 @@
 import java.util.Map;
 
 /**
- * The status that an instance reports of itself.
+ * Status report of an instance.
  *
- * @param phaseName starting, cold, warm or leaving; a later version may report others
- * @param stalled whether executions have stopped to progress
+ * @param phaseName starting, cold, warm or leaving; a later version may report other phases
+ * @param stalled whether executions have stopped making progress
  * @param queued requests in the admission queue
- * @param running requests that execute
- * @param inFlight requests that were read and are not answered yet
- * @param capacity how many requests at once the instance estimates that it can run
- * @param averageLoad the load averaged by its admission control
- * @param threshold the admission threshold that it sends to clients
- * @param rejections since its start, by reason
- * @param aborted requests that failed since its start
- * @param quotas its parts of the fleet quotas
- * @param view its quorum status among its peers, or null where it has none
+ * @param running requests that are executing
+ * @param inFlight requests that were read but not answered yet
+ * @param capacity estimated number of requests that the instance can execute concurrently
+ * @param averageLoad average load computed by the admission control of the instance
+ * @param threshold admission threshold that the instance sends to clients
+ * @param rejections number of rejections since the start, by reason
+ * @param aborted requests that failed since the start
+ * @param quotas shares of the fleet quotas that the instance holds
+ * @param view quorum status of the instance, or null without quorum
  */
 public record InstanceStatus(
         @JsonProperty("phase") String phaseName,
@@ -36,13 +36,13 @@
         @JsonProperty("view") ViewStatus view) {
 
     /**
-     * The part of one fleet quota that the instance holds.
+     * Share of one fleet quota that the instance holds.
      *
-     * @param total the quota of the whole fleet
-     * @param share the part that it may use
-     * @param leaseMillis how long its lease still holds
-     * @param inUse how much of its part is in use
-     * @param leader who grants the leases; empty where nobody does
+     * @param total quota of the whole fleet
+     * @param share part of the quota that the instance may use
+     * @param leaseMillis remaining time of the lease
+     * @param inUse part of the share that is in use
+     * @param leader member that grants the leases, or empty without a leader
      */
     public record QuotaShare(
             @JsonProperty("name") String name,
@@ -54,10 +54,10 @@
             @JsonProperty("term") long term) {}
 
     /**
-     * The quorum status of the instance, and the fleet view that it has adopted.
+     * Quorum status of the instance, and its current fleet view.
      *
-     * @param quorumStatus as the instance names it
-     * @param sinceMillis how long it has had that status
+     * @param quorumStatus name of the quorum status as reported by the instance
+     * @param sinceMillis time since the last change of the quorum status
      */
     public record ViewStatus(
             @JsonProperty("standing") String quorumStatus,
@@ -65,7 +65,7 @@
             @JsonProperty("number") String number,
             @JsonProperty("digest") String digest) {}
 
-    /** Whether it reports to serve at full speed, so that its capacity can be compared with that of its peers. */
+    /** Returns whether the instance reports full speed, which makes its capacity comparable with the capacity of its peers. */
     public boolean reportsWarm() {
         return phase() == ReportedPhase.WARM;
     }
--- a/src/main/java/merlinlever/host/state/InstanceSupervisor.java
+++ b/src/main/java/merlinlever/host/state/InstanceSupervisor.java
@@ -7,33 +7,34 @@
 import merlinlever.common.WireNamed;
 
 /**
- * Supervises one instance: decides when to launch, drain or kill its process, and reports its state. A process that exists
- * and does not answer is unreached, neither down nor launched a second time. Without input, output, thread or clock: the
- * caller reports what happens, with the time since its own start, and carries out the actions.
+ * State machine of one instance: decides when to launch, drain or kill the process, and reports the state of the instance.
+ * An instance whose process exists but does not answer is unreachable; no second process is launched for the instance. The
+ * supervisor performs no I/O and has no thread or clock: the agent reports each event with the current time, and carries out
+ * the actions.
  */
 public final class InstanceSupervisor {
 
-    /** The state of an instance as it is reported to operators. */
+    /** State of an instance as reported to operators. */
     public enum InstanceState implements WireNamed {
-        /** No process exists: none is desired, or the next launch is due later. */
+        /** No process exists: the instance is stopped, or its next launch is due later. */
         DOWN("down"),
-        /** A process exists, of a kind that does not report its status: more is not known. */
+        /** A process exists, but instances of this kind do not report their status. */
         UNMONITORED("there"),
-        /** The process has not reported its status yet. */
+        /** The process is being launched, is starting, or has not reported its status yet. */
         STARTING("starting"),
-        /** It reports that it is still warming up. */
+        /** The instance reports that it is warming up. */
         COLD("cold"),
-        /** It reports that it serves at full speed. */
+        /** The instance reports that it serves requests at full speed. */
         WARM("warm"),
-        /** Warm, and an outlier among its peers. */
+        /** The instance is warm, but its capacity is far below the capacity of its peers. */
         SLOW("slow"),
-        /** It reports that its executions do not progress. */
+        /** The instance reports that its executions make no progress. */
         HUNG("hung"),
-        /** It answers what it has read, then it ends. */
+        /** The instance answers the requests it has read, then exits. */
         DRAINING("draining"),
-        /** The process exists and has not answered in time. */
+        /** The process exists, but has not reported its status within the timeout. */
         UNREACHABLE("unreached"),
-        /** It crashed too often, and is left down until an operator starts it. */
+        /** The instance crashed too often; only an operator can start it again. */
         GIVEN_UP("given_up");
 
         private final String wireName;
@@ -48,33 +49,31 @@
         }
     }
 
-    /** What the caller has to do with the process. */
+    /** Action that the agent performs on the process. */
     public enum SupervisorAction {
-        /** Nothing. */
         NONE,
-        /** Launch a process, then report {@link #processStarted} or {@link #launchFailed}. */
+        /** Launch a process, then call {@link #processStarted} or {@link #launchFailed}. */
         LAUNCH,
         /** Ask the process to shut down gracefully. */
         DRAIN,
-        /** End the process at once. */
+        /** Kill the process immediately. */
         KILL
     }
 
-    /** Whether the instance is meant to run. */
     private enum DesiredState {
         STOPPED,
         RUNNING
     }
 
-    /** The life of the process. DRAINING and KILLING last until the process has ended. */
+    /** Lifecycle of the process. DRAINING and KILLING last until the process has exited. */
     private enum ProcessState {
         STOPPED,
-        /** The caller was asked to launch it. */
+        /** {@link SupervisorAction#LAUNCH} was returned; the result of the launch is not reported yet. */
         STARTING,
         RUNNING,
         DRAINING,
         KILLING,
-        /** Stopped, and not launched again until {@link InstanceSupervisor#start}. */
+        /** The process crashed too often; {@link InstanceSupervisor#start} allows the next launch. */
         GIVEN_UP;
 
         boolean hasProcess() {
@@ -86,14 +85,14 @@
         }
     }
 
-    /** A new process has this many status timeouts for its first report. */
+    /** Number of status timeouts within which a new process has to send its first status report. */
     private static final int FIRST_STATUS_TIMEOUTS = 4;
 
     private final SupervisorSettings settings;
     private final boolean reportsStatus;
     private DesiredState desiredState = DesiredState.STOPPED;
     private ProcessState processState = ProcessState.STOPPED;
-    /** Whether the caller has still to be asked for the action that the process state stands for. */
+    /** Whether the action of the current process state has not been returned by {@link #nextAction} yet. */
     private boolean actionPending;
 
     private Duration nextLaunchAt = Duration.ZERO;
@@ -101,19 +100,19 @@
     private final ArrayDeque<Duration> recentCrashes = new ArrayDeque<>();
     private String lastEnd = "";
     private long launches;
-    /** Null before the first process. */
+    /** Start time of the last process; null before the first process. */
     private Duration startedAt;
-    /** Of the current process; null before its first report. */
+    /** Last status report of the current process; null before its first report. */
     private InstanceStatus lastStatus;
-    /** When the last process reported last; null before its first report. */
+    /** Time of the last status report of the last process; null before its first report. */
     private Duration lastStatusAt;
 
     private boolean outlier;
 
     /**
-     * A supervisor of an instance that has no process and is not desired.
+     * Creates a supervisor of an instance that is stopped and has no process.
      *
-     * @param reportsStatus whether instances of its kind report their status
+     * @param reportsStatus whether instances of this kind report their status
      */
     public InstanceSupervisor(SupervisorSettings settings, boolean reportsStatus) {
         this.settings = settings;
@@ -123,7 +122,10 @@
 
     // ---- orders
 
-    /** Desires the instance. One that is ending is launched again once it has ended; one given up may crash anew. */
+    /**
+     * Sets the desired state to running. An instance that is draining is launched again after its process has exited; an
+     * instance that was given up is launched again with an empty crash history.
+     */
     public void start(Duration now) {
         if (desiredState == DesiredState.STOPPED || processState == ProcessState.GIVEN_UP) {
             nextLaunchAt = now;
@@ -136,13 +138,13 @@
         desiredState = DesiredState.RUNNING;
     }
 
-    /** Desires the instance, and launches it after the delay. */
+    /** Sets the desired state to running, and delays the launch. */
     public void startAfter(Duration now, Duration delay) {
         start(now);
         nextLaunchAt = now.plus(delay);
     }
 
-    /** Lets the instance answer what it has read, then end. */
+    /** Stops the instance after it has answered the requests it has read. */
     public void drain() {
         desiredState = DesiredState.STOPPED;
         if (processState == ProcessState.GIVEN_UP) {
@@ -152,7 +154,7 @@
         }
     }
 
-    /** Ends the instance at once; its requests in flight are lost. */
+    /** Stops the instance immediately; its requests in flight are lost. */
     public void kill() {
         drain();
         if (processState == ProcessState.DRAINING) {
@@ -160,7 +162,7 @@
         }
     }
 
-    /** Drains the instance and launches it again, or starts it where it has no process. */
+    /** Drains the instance and launches it again, or starts the instance if it has no process. */
     public void restart(Duration now) {
         if (processState.hasProcess()) {
             drain();
@@ -177,7 +179,7 @@
 
     // ---- events
 
-    /** A process of the instance exists: launched now, or found running. */
+    /** Records that a process of the instance exists: a new process, or a running process that the agent adopted. */
     public void processStarted(Duration now) {
         processState = ProcessState.RUNNING;
         startedAt = now;
@@ -187,12 +189,12 @@
         launches++;
     }
 
-    /** The launch that was asked for failed; counts as a crash. */
+    /** Records that the requested launch failed, which counts as a crash. */
     public void launchFailed(Duration now, String reason) {
         recordCrash(now, reason);
     }
 
-    /** The process has ended. */
+    /** Records that the process has exited. */
     public void processEnded(Duration now, String reason) {
         if (!processState.hasProcess()) {
             return;
@@ -224,7 +226,7 @@
         processState = giveUp ? ProcessState.GIVEN_UP : ProcessState.STOPPED;
     }
 
-    /** The instance has reported its status. */
+    /** Records a status report of the instance. */
     public void statusReceived(Duration now, InstanceStatus status) {
         if (processState.hasProcess()) {
             lastStatus = status;
@@ -232,14 +234,14 @@
         }
     }
 
-    /** Whether the instance is an outlier among its peers, as {@link OutlierDetector} found. */
+    /** Records whether {@link OutlierDetector} considers the instance an outlier among its peers. */
     public void setOutlier(boolean isOutlier) {
         outlier = isOutlier;
     }
 
     // ---- decisions
 
-    /** What has to be done now; each action is returned once. */
+    /** Returns the action that is due now; each action is returned once. */
     public SupervisorAction nextAction(Duration now) {
         return switch (processState) {
             case STOPPED -> {
@@ -265,7 +267,7 @@
 
     // ---- reports
 
-    /** The state of the instance, by its process and by its last status report. */
+    /** Returns the state of the instance, derived from its process and its last status report. */
     public InstanceState state(Duration now) {
         return switch (processState) {
             case STOPPED -> InstanceState.DOWN;
@@ -302,22 +304,22 @@
         return now.minus(lastStatusAt).compareTo(settings.statusTimeout()) > 0;
     }
 
-    /** One phrase for operators on why the instance is in its state; empty where there is nothing to say. */
+    /** Returns the reason for the current state as a phrase for operators, or an empty string. */
     public String reason(Duration now) {
         return switch (state(now)) {
             case DOWN -> downReason(now);
-            case GIVEN_UP -> "died " + recentCrashes.size() + " times, last: " + lastEnd + "; start it by hand";
+            case GIVEN_UP -> "crashed " + recentCrashes.size() + " times, last: " + lastEnd + "; start it manually";
             case UNREACHABLE -> lastStatusAt == null
-                    ? "has not answered since it was launched"
+                    ? "no status report since the launch"
                     : String.format(
                             Locale.ROOT,
-                            "not reached for %d ms",
+                            "no status report for %d ms",
                             now.minus(lastStatusAt).toMillis());
             case DRAINING -> lastStatus == null
-                    ? "leaving"
-                    : lastStatus.inFlight() + " operations to be answered when last heard";
-            case SLOW -> "its capacity is far under that of its peers";
-            case HUNG -> "no run gets on";
+                    ? "draining"
+                    : lastStatus.inFlight() + " requests in flight at the last status report";
+            case SLOW -> "its capacity is far below the capacity of its peers";
+            case HUNG -> "its executions make no progress";
             case UNMONITORED, STARTING, COLD, WARM -> "";
         };
     }
@@ -325,37 +327,37 @@
     private String downReason(Duration now) {
         if (desiredState == DesiredState.RUNNING) {
             long millisToLaunch = Math.max(0, nextLaunchAt.minus(now).toMillis());
-            return String.format(Locale.ROOT, "%s; launched again in %d ms", lastEnd, millisToLaunch);
+            return String.format(Locale.ROOT, "%s; next launch in %d ms", lastEnd, millisToLaunch);
         }
-        return lastEnd.isEmpty() ? "not wanted" : "not wanted; " + lastEnd;
+        return lastEnd.isEmpty() ? "stopped" : "stopped; " + lastEnd;
     }
 
-    /** Whether the instance is meant to run. */
+    /** Returns whether the desired state of the instance is running. */
     public boolean isDesired() {
         return desiredState == DesiredState.RUNNING;
     }
 
-    /** Whether a process of the instance exists, as far as was reported. */
+    /** Returns whether a process of the instance exists according to the reported events. */
     public boolean hasProcess() {
         return processState.hasProcess();
     }
 
-    /** The last status report of the current process; empty where it has none. */
+    /** Returns the last status report of the current process, or empty before the first report. */
     public Optional<InstanceStatus> lastStatus() {
         return Optional.ofNullable(lastStatus);
     }
 
-    /** The age of the last status report, also after the end of the process; empty where it never reported. */
+    /** Returns the age of the last status report, also after the process has exited, or empty before the first report. */
     public Optional<Duration> statusAge(Duration now) {
         return Optional.ofNullable(lastStatusAt).map(now::minus);
     }
 
-    /** How long the current process has been known; empty where there is none. */
+    /** Returns the time since the current process was launched or adopted, or empty if no process exists. */
     public Optional<Duration> processAge(Duration now) {
         return hasProcess() ? Optional.of(now.minus(startedAt)) : Optional.empty();
     }
 
-    /** How many processes of the instance were launched or found running. */
+    /** Returns the number of processes of the instance that were launched or adopted. */
     public long launches() {
         return launches;
     }
--- a/src/main/java/merlinlever/host/state/OrderTracker.java
+++ b/src/main/java/merlinlever/host/state/OrderTracker.java
@@ -9,13 +9,13 @@
 import merlinlever.common.WireNamed;
 
 /**
- * Carries orders of operators over to the supervisors. An order has an id, under which it is carried out once however
- * often it is sent. A later order to an instance supersedes an earlier one. At most {@value #MAX_ORDERS} orders are kept,
- * so that their progress can be asked for; the oldest finished ones are forgotten first.
+ * Applies orders of operators to the supervisors and tracks their progress. Each order has an id, and repeated orders with
+ * the same id are applied once. A later order for an instance supersedes an earlier order. The tracker keeps at most
+ * {@value #MAX_ORDERS} orders for progress queries, and evicts the oldest finished order first.
  */
 public final class OrderTracker {
 
-    /** What operators can order. */
+    /** Kind of an order. */
     public enum OrderVerb implements WireNamed {
         START("start"),
         DRAIN("drain"),
@@ -33,19 +33,19 @@
             return wireName;
         }
 
-        /** Whether an instance is meant to run after the order. */
+        /** Returns whether the order sets the desired state of its instances to running. */
         public boolean desiresInstance() {
             return this == START || this == RESTART;
         }
     }
 
-    /** How far an order is with one instance. */
+    /** Progress of an order for one instance. */
     public enum OrderProgress implements WireNamed {
         UNDER_WAY("under way"),
         DONE("done"),
-        /** A later order to the instance has replaced it. */
+        /** A later order for the instance has replaced the order. */
         SUPERSEDED("superseded"),
-        /** The instance crashed too often. */
+        /** The instance crashed too often and is not launched again. */
         GIVEN_UP("given up");
 
         private final String wireName;
@@ -60,7 +60,7 @@
         }
     }
 
-    /** One order and its progress. */
+    /** An order and its progress. */
     public static final class Order {
         private final String id;
         private final OrderVerb verb;
@@ -79,29 +79,28 @@
                     .toArray();
         }
 
-        /** The id that its sender gave it. */
+        /** Returns the id assigned by the sender. */
         public String id() {
             return id;
         }
 
-        /** What was ordered. */
         public OrderVerb verb() {
             return verb;
         }
 
-        /** The indexes of the instances that it is for. */
+        /** Returns the indexes of the instances that the order applies to. */
         public List<Integer> instances() {
             return instances;
         }
 
-        /** How far it is with the instance at that position of {@link #instances}. */
+        /** Returns the progress for the instance at the given position of {@link #instances}. */
         public OrderProgress progress(int position) {
             return progress[position];
         }
 
-        /** Whether it is under way with none of its instances any more. */
+        /** Returns whether the order is no longer under way for any instance. */
         public boolean isFinished() {
-            return Arrays.stream(progress).noneMatch(each -> each == OrderProgress.UNDER_WAY);
+            return Arrays.stream(progress).noneMatch(state -> state == OrderProgress.UNDER_WAY);
         }
     }
 
@@ -110,42 +109,42 @@
     private final List<InstanceSupervisor> supervisors;
     private final LinkedHashMap<String, Order> ordersById = new LinkedHashMap<>();
 
-    /** A tracker without orders; they name instances by their index in the list. */
+    /** Creates a tracker without orders; orders refer to instances by their index in the list. */
     public OrderTracker(List<InstanceSupervisor> supervisors) {
         this.supervisors = supervisors;
     }
 
-    /** The order of that id, if it is known. */
+    /** Returns the order with the given id, or empty for an unknown id. */
     public Optional<Order> find(String id) {
         return Optional.ofNullable(ordersById.get(id));
     }
 
-    /** Whether one more order can be accepted; false while as many as are kept are all under way. */
+    /** Returns whether another order can be accepted; false if all {@value #MAX_ORDERS} orders are under way. */
     public boolean hasCapacity() {
         return ordersById.size() < MAX_ORDERS || ordersById.values().stream().anyMatch(Order::isFinished);
     }
 
     /**
-     * Carries an order out. One whose id is known is returned as it stands and not carried out again.
+     * Applies an order. If an order with the same id exists, returns the existing order and applies nothing.
      *
-     * @param immediate whether instances that are to end are killed in place of drained
-     * @throws IllegalStateException if there is no capacity for a new order
+     * @param immediate whether a drain or stop order kills the instances instead of draining them
+     * @throws IllegalStateException without capacity for a new order
      */
     public Order accept(Duration now, String id, OrderVerb verb, boolean immediate, List<Integer> instances) {
-        Order known = ordersById.get(id);
-        if (known != null) {
-            return known;
+        Order existing = ordersById.get(id);
+        if (existing != null) {
+            return existing;
         }
-        makeRoom();
-        supersedeOrdersTo(instances);
+        evictFinishedOrders();
+        supersedeOrdersFor(instances);
         Order order = new Order(id, verb, instances, supervisors);
         ordersById.put(id, order);
-        instances.forEach(index -> carryOut(now, verb, immediate, supervisors.get(index)));
+        instances.forEach(index -> apply(now, verb, immediate, supervisors.get(index)));
         updateProgress(now);
         return order;
     }
 
-    private void makeRoom() {
+    private void evictFinishedOrders() {
         while (ordersById.size() >= MAX_ORDERS) {
             Order oldestFinished = ordersById.values().stream()
                     .filter(Order::isFinished)
@@ -155,7 +154,7 @@
         }
     }
 
-    private void supersedeOrdersTo(List<Integer> instances) {
+    private void supersedeOrdersFor(List<Integer> instances) {
         for (Order order : ordersById.values()) {
             for (int i = 0; i < order.progress.length; i++) {
                 if (order.progress[i] == OrderProgress.UNDER_WAY && instances.contains(order.instances.get(i))) {
@@ -165,7 +164,7 @@
         }
     }
 
-    private static void carryOut(Duration now, OrderVerb verb, boolean immediate, InstanceSupervisor supervisor) {
+    private static void apply(Duration now, OrderVerb verb, boolean immediate, InstanceSupervisor supervisor) {
         switch (verb) {
             case START -> supervisor.start(now);
             case RESTART -> supervisor.restart(now);
@@ -179,7 +178,7 @@
         }
     }
 
-    /** Updates the progress of all orders by the states of their instances, and returns those that finished by it. */
+    /** Updates the progress of all orders from the states of their instances, and returns the newly finished orders. */
     public List<Order> updateProgress(Duration now) {
         List<Order> finished = new ArrayList<>(0);
         for (Order order : ordersById.values()) {
--- a/src/main/java/merlinlever/host/state/OutlierDetector.java
+++ b/src/main/java/merlinlever/host/state/OutlierDetector.java
@@ -3,32 +3,32 @@
 import java.util.Arrays;
 
 /**
- * Finds instances that are much slower than their peers: their capacity is compared with the median, with hysteresis, and
- * only where there are enough peers for a median to mean something.
+ * Detects instances that are much slower than their peers: compares the capacity of each instance with the median, with
+ * hysteresis, and only if there are enough instances for a meaningful median.
  */
 public final class OutlierDetector {
 
     private static final int MIN_PEERS = 3;
-    /** Below this part of the median an instance counts as an outlier. */
+    /** An instance below this fraction of the median is an outlier. */
     private static final double OUTLIER_FRACTION = 0.5;
-    /** Above this part of the median an outlier counts as recovered. */
+    /** An outlier above this fraction of the median has recovered. */
     private static final double RECOVERED_FRACTION = 0.7;
-    /** So many samples in a row have to agree before the verdict changes. */
+    /** Number of consecutive samples after which the outlier status of an instance changes. */
     private static final int SAMPLES_TO_CHANGE = 3;
 
     private final int[] contrarySamples;
     private final boolean[] outlier;
 
-    /** A detector for so many instances, none of which is an outlier yet. */
+    /** Creates a detector for the given number of instances, initially without outliers. */
     public OutlierDetector(int count) {
         contrarySamples = new int[count];
         outlier = new boolean[count];
     }
 
     /**
-     * Takes one sample of the capacities of all instances.
+     * Adds one sample of the capacities of all instances.
      *
-     * @param capacities by index, NaN for an instance that is warming up or whose capacity is not known
+     * @param capacities by instance index; NaN for an instance that is warming up or has an unknown capacity
      */
     public void addSample(double[] capacities) {
         double[] known = Arrays.stream(capacities)
@@ -56,7 +56,7 @@
         }
     }
 
-    /** Whether the instance with that index is an outlier by the samples so far. */
+    /** Returns whether the instance with the given index is an outlier. */
     public boolean isOutlier(int index) {
         return outlier[index];
     }
--- a/src/main/java/merlinlever/host/state/ReportedPhase.java
+++ b/src/main/java/merlinlever/host/state/ReportedPhase.java
@@ -2,14 +2,14 @@
 
 import merlinlever.common.WireNamed;
 
-/** The phase of its life that an instance reports in its status. */
+/** The lifecycle phase that an instance reports in its status. */
 enum ReportedPhase implements WireNamed {
     STARTING("starting"),
-    /** It serves below its full speed. */
+    /** The instance serves requests below its full speed. */
     WARMING_UP("cold"),
     WARM("warm"),
     DRAINING("leaving"),
-    /** A phase that this version does not know; the instance serves as far as can be told. */
+    /** A phase unknown to this version; the instance is assumed to serve requests. */
     UNKNOWN("");
 
     private final String wireName;
@@ -23,7 +23,7 @@
         return wireName;
     }
 
-    /** The phase of exactly that name, {@link #UNKNOWN} where there is none. */
+    /** Returns the phase with exactly the given name, or {@link #UNKNOWN} if no phase has this name. */
     static ReportedPhase ofWireName(String name) {
         for (ReportedPhase phase : values()) {
             if (phase.wireName.equals(name)) {
--- a/src/main/java/merlinlever/host/state/RollingRestart.java
+++ b/src/main/java/merlinlever/host/state/RollingRestart.java
@@ -10,28 +10,29 @@
 import java.util.Set;
 
 /**
- * Decides a rolling restart: which instances to restart next, when to wait, and when to stop because it went wrong. A batch
- * is of one machine. At most a configured fraction of the fleet is unavailable at once, whatever the reason. The next batch
- * begins when the restarted instances report to be warm and callers are rejected hardly more often than before. Without
- * input, output, thread or clock: the caller passes in what it observes and restarts what it is told to.
+ * State machine of a rolling restart: decides which instances to restart next, when to wait, and when to stop after a
+ * failure. All instances of a batch run on the same machine. At most a configured fraction of the fleet is unavailable at
+ * once, whatever the cause. The next batch begins when the restarted instances are warm and the rejection rate is close to
+ * the baseline. The class performs no I/O and has no thread or clock: the {@code fleet} command passes in observations and
+ * restarts the returned instances.
  */
 public final class RollingRestart {
 
-    /** How far the rolling restart is. */
+    /** Phase of the rolling restart. */
     public enum RolloutPhase {
         /** The rejection rate before the first batch is measured. */
         MEASURING_BASELINE,
         RESTARTING,
         DONE,
-        /** Something went wrong; {@link RollingRestart#reason} says what. */
+        /** The rolling restart failed; {@link RollingRestart#reason} describes the failure. */
         STOPPED
     }
 
     /**
-     * One instance as it was last observed.
+     * Observation of one instance.
      *
-     * @param launches how many processes of it were launched
-     * @param rejections requests that its process rejected or aborted since it began
+     * @param launches number of processes of the instance that were launched
+     * @param rejections requests that the current process rejected or aborted since its start
      */
     public record InstanceObservation(
             String name, String host, InstanceSupervisor.InstanceState state, long launches, long rejections) {
@@ -44,13 +45,13 @@
     }
 
     /**
-     * How a rolling restart proceeds.
+     * Settings of a rolling restart.
      *
-     * @param batchSize the most instances that are restarted at once
-     * @param maxUnavailableFraction the part of the fleet that may be unavailable at once, 0 to 1; one instance always may
-     * @param warmUpTimeout within which a restarted instance has to serve again
-     * @param observationPeriod for which rejections are measured before the first batch and after each
-     * @param maxRejectionRatio the restart is stopped if the rejection rate exceeds the baseline so many times
+     * @param batchSize maximum number of instances that are restarted at once
+     * @param maxUnavailableFraction fraction of the fleet that may be unavailable at once, 0 to 1; at least one instance may
+     * @param warmUpTimeout time within which a restarted instance has to serve requests again
+     * @param observationPeriod time over which the rejection rate is measured before the first batch and after each batch
+     * @param maxRejectionRatio maximum ratio of the rejection rate to the baseline; a higher ratio stops the restart
      */
     public record RollingRestartSettings(
             int batchSize,
@@ -59,19 +60,19 @@
             Duration observationPeriod,
             double maxRejectionRatio) {}
 
-    /** Rejections per second above the limit that are tolerated, so that a single one in a quiet fleet is no reason to stop. */
+    /** Rejections per second tolerated above the limit: a single rejection in an idle fleet does not stop the restart. */
     private static final double TOLERATED_REJECTION_RATE = 1;
 
     private static final double MILLIS_PER_SECOND = Duration.ofSeconds(1).toMillis();
     private static final double MIN_RATE_SECONDS = 0.001;
-    /** A restarted instance may crash once before it serves; with another crash the restart is stopped. */
+    /** A restarted instance may crash once before it serves requests; a second crash stops the rolling restart. */
     private static final int MAX_LAUNCHES_AFTER_RESTART = 2;
-    /** So many unavailable instances are named in the reason for waiting. */
+    /** Maximum number of unavailable instances listed in the reason for waiting. */
     private static final int MAX_NAMED_INSTANCES = 5;
 
     private final RollingRestartSettings settings;
     private final Set<String> pending;
-    /** The instances that were restarted and do not serve yet, with their launches before. */
+    /** Restarted instances that do not serve requests yet, with their number of launches before the restart. */
     private final Map<String, Long> launchesBeforeRestart = new LinkedHashMap<>();
 
     private final List<String> completed = new ArrayList<>();
@@ -79,50 +80,50 @@
     private RolloutPhase phase = RolloutPhase.MEASURING_BASELINE;
     private String reason = "";
     private long rejections;
-    /** Since when the rejections are counted; null before the first observation. */
+    /** Start of the current measurement of rejections; null before the first observation. */
     private Duration measuringSince;
     /** Rejections per second before the first batch. */
     private double baselineRate;
-    /** When the last batch began; null before the first. */
+    /** Start time of the last batch; null before the first batch. */
     private Duration batchStartedAt;
 
-    /** @param names the instances to restart, in that order as far as their machines allow */
+    /** @param names the instances to restart, in this order except that a batch is limited to one machine */
     public RollingRestart(RollingRestartSettings settings, List<String> names) {
         this.settings = settings;
         pending = new LinkedHashSet<>(names);
     }
 
-    /** How far it is. */
+    /** Returns the current phase. */
     public RolloutPhase phase() {
         return phase;
     }
 
-    /** Whether it restarts nothing any more. */
+    /** Returns whether the rolling restart has completed or was stopped. */
     public boolean isOver() {
         return phase == RolloutPhase.DONE || phase == RolloutPhase.STOPPED;
     }
 
-    /** Why it waits or was stopped, for operators; empty where it does neither. */
+    /** Returns the reason for waiting or stopping as text for operators, or an empty string. */
     public String reason() {
         return reason;
     }
 
-    /** The instances that were restarted and serve again. */
+    /** Returns the restarted instances that serve requests again. */
     public List<String> completed() {
         return completed;
     }
 
-    /** The instances that were restarted and do not serve yet. */
+    /** Returns the restarted instances that do not serve requests yet. */
     public List<String> restarting() {
         return new ArrayList<>(launchesBeforeRestart.keySet());
     }
 
-    /** The instances that are still to be restarted. */
+    /** Returns the instances that have not been restarted yet. */
     public List<String> pending() {
         return new ArrayList<>(pending);
     }
 
-    /** The instances to restart now, by an observation of the whole fleet; empty while it waits or when it is over. */
+    /** Returns the instances to restart now, given an observation of the whole fleet; empty while waiting and at the end. */
     public List<String> nextBatch(Duration now, List<InstanceObservation> fleet) {
         if (isOver()) {
             return List.of();
@@ -142,18 +143,19 @@
         return chooseBatch(now, fleet);
     }
 
-    private void stop(String why) {
+    private void stop(String failure) {
         phase = RolloutPhase.STOPPED;
-        reason = why;
+        reason = failure;
     }
 
-    /** Adds the rejections since the last observation; a restarted process counts from zero. */
+    /** Adds the rejections since the last observation; the counter of a new process starts at zero. */
     private void countRejections(List<InstanceObservation> fleet) {
         for (InstanceObservation current : fleet) {
-            InstanceObservation before = lastObservations.put(current.name, current);
-            if (before != null) {
-                boolean isSameProcess = current.launches == before.launches && current.rejections >= before.rejections;
-                rejections += isSameProcess ? current.rejections - before.rejections : current.rejections;
+            InstanceObservation previous = lastObservations.put(current.name, current);
+            if (previous != null) {
+                boolean isSameProcess =
+                        current.launches == previous.launches && current.rejections >= previous.rejections;
+                rejections += isSameProcess ? current.rejections - previous.rejections : current.rejections;
             }
         }
     }
@@ -176,7 +178,7 @@
             return false;
         }
         if (!isObserved(now)) {
-            reason = "watching callers before the first batch";
+            reason = "measuring the rejection rate before the first batch";
             return true;
         }
         baselineRate = rejectionRate(now);
@@ -184,17 +186,17 @@
         return false;
     }
 
-    /** Completes the instances of the batch that serve again, and stops where one of them has failed. */
+    /** Completes the instances of the batch that serve requests again, and stops if one of them has failed. */
     private boolean hasFailedInstance(Duration now) {
         for (Map.Entry<String, Long> entry : List.copyOf(launchesBeforeRestart.entrySet())) {
             InstanceObservation current = lastObservations.get(entry.getKey());
             long launches = current.launches - entry.getValue();
             if (current.state == InstanceSupervisor.InstanceState.GIVEN_UP) {
-                stop(current.name + " keeps dying since it was restarted");
+                stop(current.name + " keeps crashing since its restart");
                 return true;
             }
             if (launches > MAX_LAUNCHES_AFTER_RESTART) {
-                stop(current.name + " died " + (launches - 1) + " times since it was restarted");
+                stop(current.name + " crashed " + (launches - 1) + " times since its restart");
                 return true;
             }
             if (current.isServing() && launches > 0) {
@@ -202,8 +204,8 @@
                 completed.add(entry.getKey());
                 resetRejections(now);
             } else if (now.minus(batchStartedAt).compareTo(settings.warmUpTimeout) > 0) {
-                stop(current.name + " is not warm " + settings.warmUpTimeout.toSeconds()
-                        + " s after it was restarted, but " + current.state.wireName());
+                stop(current.name + " is not warm " + settings.warmUpTimeout.toSeconds() + " s after its restart, but "
+                        + current.state.wireName());
                 return true;
             }
         }
@@ -212,17 +214,17 @@
 
     private boolean isWaitingForBatch(Duration now) {
         if (!launchesBeforeRestart.isEmpty()) {
-            reason = "waiting for " + String.join(", ", launchesBeforeRestart.keySet()) + " to be warm";
+            reason = "waiting for " + String.join(", ", launchesBeforeRestart.keySet()) + " to become warm";
             return true;
         }
         if (batchStartedAt != null && !isObserved(now)) {
-            reason = "watching callers behind the batch";
+            reason = "measuring the rejection rate after the batch";
             return true;
         }
         return false;
     }
 
-    /** Stops where callers are rejected clearly more often since the last batch than before the first. */
+    /** Stops if the rejection rate since the last batch exceeds the limit derived from the baseline. */
     private boolean isRejectingMore(Duration now) {
         if (batchStartedAt == null) {
             return false;
@@ -232,7 +234,10 @@
             return false;
         }
         stop(String.format(
-                Locale.ROOT, "%.1f operations a second are turned away, %.1f were before", rate, baselineRate));
+                Locale.ROOT,
+                "%.1f requests per second are rejected, compared with %.1f before the first batch",
+                rate,
+                baselineRate));
         return true;
     }
 
@@ -242,26 +247,26 @@
                 .filter(observation -> !observation.isServing())
                 .map(InstanceObservation::name)
                 .toList();
-        // A pending instance that is unavailable already takes no other one away.
+        // Restarting a pending instance that is already unavailable does not make another instance unavailable.
         long unavailableOthers =
                 unavailable.stream().filter(name -> !pending.contains(name)).count();
         int maxBatch = Math.min(settings.batchSize, maxUnavailable - (int) unavailableOthers);
         for (String name : pending) {
             InstanceObservation observation = lastObservations.get(name);
             if (observation == null) {
-                stop(name + " is not known any more");
+                stop(name + " is missing from the fleet report");
                 return List.of();
             }
             if (observation.state == InstanceSupervisor.InstanceState.UNREACHABLE) {
-                reason = name + " is not reached: waiting for it";
+                reason = name + " is unreachable: waiting for a status report";
                 return List.of();
             }
         }
         List<String> batch = firstOfOneHost(maxBatch);
         if (batch.isEmpty()) {
-            List<String> named = unavailable.subList(0, Math.min(MAX_NAMED_INSTANCES, unavailable.size()));
-            reason = unavailable.size() + " of " + fleet.size() + " are away (" + String.join(", ", named)
-                    + "), at most " + maxUnavailable + " may be: waiting";
+            List<String> listed = unavailable.subList(0, Math.min(MAX_NAMED_INSTANCES, unavailable.size()));
+            reason = unavailable.size() + " of " + fleet.size() + " instances are unavailable ("
+                    + String.join(", ", listed) + "), at most " + maxUnavailable + " may be unavailable: waiting";
             return List.of();
         }
         begin(now, batch);
--- a/src/main/java/merlinlever/host/state/SupervisorSettings.java
+++ b/src/main/java/merlinlever/host/state/SupervisorSettings.java
@@ -3,14 +3,14 @@
 import java.time.Duration;
 
 /**
- * When an {@link InstanceSupervisor} restarts a process, and when it takes it for unreachable.
+ * Settings of an {@link InstanceSupervisor}: restarts after a crash, and the timeout of status reports.
  *
- * @param initialBackoff the wait before the first restart after a crash; doubled with each further crash
- * @param maxBackoff the longest wait between a crash and the restart
- * @param stableAfter a process that ran this long resets the backoff to the initial one
- * @param maxRestarts crashes within the restart window after which the instance is given up
- * @param restartWindow the time for which a crash counts
- * @param statusTimeout without a status report for this long an instance is unreached
+ * @param initialBackoff delay before the first restart after a crash; doubled with each further crash
+ * @param maxBackoff maximum delay between a crash and the restart
+ * @param stableAfter run time of a process after which a crash starts again with the initial backoff
+ * @param maxRestarts number of crashes within the restart window after which the instance is given up
+ * @param restartWindow time for which a crash is counted
+ * @param statusTimeout time without a status report after which an instance is unreachable
  */
 public record SupervisorSettings(
         Duration initialBackoff,
@@ -22,7 +22,7 @@
 
     private static final int DEFAULT_MAX_RESTARTS = 5;
 
-    /** What holds for settings that a configuration does not name. */
+    /** Default settings. */
     public static final SupervisorSettings DEFAULTS = new SupervisorSettings(
             Duration.ofMillis(200),
             Duration.ofSeconds(30),
--- a/src/test/java/merlinlever/host/run/HostAgentTest.java
+++ b/src/test/java/merlinlever/host/run/HostAgentTest.java
@@ -264,7 +264,8 @@
         try (InstanceLedger edited = new InstanceLedger(folder.resolve("state"))) {
             edited.update(
                     "t-0",
-                    new InstanceLedger.InstanceRecord(true, edited.recordOf("t-0").token(), 0, 0));
+                    new InstanceLedger.InstanceRecord(
+                            true, edited.recordOf("t-0").token(), 0, 0));
             // And a pid that now belongs to somebody else.
             edited.update(
                     "t-1",
@@ -333,7 +334,7 @@
         int launches = (int) (long) on(() -> agent.supervisor(0).launches());
         runAgentFor(Duration.ofSeconds(1));
         assertEquals(launches, (int) (long) on(() -> agent.supervisor(0).launches()));
-        assertTrue(on(() -> agent.supervisor(0).reason(loop.clock().now())).contains("start it by hand"));
+        assertTrue(on(() -> agent.supervisor(0).reason(loop.clock().now())).contains("start it manually"));
         Files.writeString(folder.resolve("mode0"), "0");
         on(() -> agent.accept("start-by-hand-1", OrderTracker.OrderVerb.START, false, List.of(0)));
         await(0, InstanceSupervisor.InstanceState.WARM, 15_000);
--- a/src/test/java/merlinlever/host/state/InstanceSupervisorTest.java
+++ b/src/test/java/merlinlever/host/state/InstanceSupervisorTest.java
@@ -24,30 +24,30 @@
     }
 
     @Test
-    void whatDiesIsLaunchedAgainAfterGrowingPausesUntilTheBudgetIsSpent() {
+    void crashedInstanceIsRelaunchedWithGrowingBackoffUntilGivenUp() {
         supervisor.start(ms(0));
-        long at = 0;
-        long[] pauses = new long[8];
-        int deaths = 0;
-        while (deaths < 8 && at < 60_000) {
-            if (supervisor.nextAction(ms(at)) == InstanceSupervisor.SupervisorAction.LAUNCH) {
-                supervisor.processStarted(ms(at));
-                supervisor.processEnded(ms(at), "status 1");
-                pauses[deaths++] = at;
+        long nowMillis = 0;
+        long[] launchTimes = new long[8];
+        int crashes = 0;
+        while (crashes < 8 && nowMillis < 60_000) {
+            if (supervisor.nextAction(ms(nowMillis)) == InstanceSupervisor.SupervisorAction.LAUNCH) {
+                supervisor.processStarted(ms(nowMillis));
+                supervisor.processEnded(ms(nowMillis), "status 1");
+                launchTimes[crashes++] = nowMillis;
             }
-            at += 10;
+            nowMillis += 10;
         }
-        assertEquals(5, deaths);
+        assertEquals(5, crashes);
         assertEquals(
                 List.of(0L, 200L, 600L, 1400L, 3000L),
-                java.util.Arrays.stream(pauses).limit(5).boxed().toList());
-        assertEquals(InstanceSupervisor.InstanceState.GIVEN_UP, supervisor.state(ms(at)));
-        supervisor.start(ms(at));
-        assertEquals(InstanceSupervisor.SupervisorAction.LAUNCH, supervisor.nextAction(ms(at)));
+                java.util.Arrays.stream(launchTimes).limit(5).boxed().toList());
+        assertEquals(InstanceSupervisor.InstanceState.GIVEN_UP, supervisor.state(ms(nowMillis)));
+        supervisor.start(ms(nowMillis));
+        assertEquals(InstanceSupervisor.SupervisorAction.LAUNCH, supervisor.nextAction(ms(nowMillis)));
     }
 
     @Test
-    void silenceIsNotDeathAndNothingIsLaunchedBeside() {
+    void unreachableInstanceIsNotLaunchedAgain() {
         supervisor.start(ms(0));
         assertEquals(InstanceSupervisor.SupervisorAction.LAUNCH, supervisor.nextAction(ms(0)));
         assertEquals(InstanceSupervisor.SupervisorAction.NONE, supervisor.nextAction(ms(1)));
@@ -58,25 +58,25 @@
         supervisor.statusReceived(ms(400), status("warm", 0));
         assertEquals(InstanceSupervisor.InstanceState.WARM, supervisor.state(ms(2900)));
         assertEquals(InstanceSupervisor.InstanceState.UNREACHABLE, supervisor.state(ms(2901)));
-        assertTrue(supervisor.reason(ms(4400)).startsWith("not reached for 4000 ms"));
-        for (long at = 3000; at < 600_000; at += 100) {
-            assertEquals(InstanceSupervisor.SupervisorAction.NONE, supervisor.nextAction(ms(at)));
+        assertTrue(supervisor.reason(ms(4400)).startsWith("no status report for 4000 ms"));
+        for (long nowMillis = 3000; nowMillis < 600_000; nowMillis += 100) {
+            assertEquals(InstanceSupervisor.SupervisorAction.NONE, supervisor.nextAction(ms(nowMillis)));
         }
         supervisor.statusReceived(ms(600_000), status("warm", 0));
         assertEquals(InstanceSupervisor.InstanceState.WARM, supervisor.state(ms(600_001)));
     }
 
     @Test
-    void oneThatLeavesIsToldOnceAndWaitedFor() {
+    void drainIsRequestedOnceAndAwaited() {
         supervisor.start(ms(0));
         supervisor.nextAction(ms(0));
         supervisor.processStarted(ms(0));
         supervisor.statusReceived(ms(10), status("warm", 7));
         supervisor.drain();
         assertEquals(InstanceSupervisor.SupervisorAction.DRAIN, supervisor.nextAction(ms(20)));
-        for (long at = 30; at < 60_000; at += 10) {
-            assertEquals(InstanceSupervisor.SupervisorAction.NONE, supervisor.nextAction(ms(at)));
-            assertEquals(InstanceSupervisor.InstanceState.DRAINING, supervisor.state(ms(at)));
+        for (long nowMillis = 30; nowMillis < 60_000; nowMillis += 10) {
+            assertEquals(InstanceSupervisor.SupervisorAction.NONE, supervisor.nextAction(ms(nowMillis)));
+            assertEquals(InstanceSupervisor.InstanceState.DRAINING, supervisor.state(ms(nowMillis)));
         }
         supervisor.processEnded(ms(60_000), "status 143");
         assertEquals(InstanceSupervisor.SupervisorAction.NONE, supervisor.nextAction(ms(99_000)));
@@ -84,7 +84,7 @@
     }
 
     @Test
-    void startWhileItLeavesLaunchesItOnceItIsDown() {
+    void startDuringDrainLaunchesAfterTheProcessEnds() {
         supervisor.start(ms(0));
         supervisor.nextAction(ms(0));
         supervisor.processStarted(ms(0));
@@ -97,7 +97,7 @@
     }
 
     @Test
-    void anOrderIsDoneOnceAndALaterOneTakesItsPlace() {
+    void orderIsAppliedOnceAndSupersededByALaterOrder() {
         OrderTracker orders = new OrderTracker(List.of(supervisor));
         OrderTracker.Order start = orders.accept(ms(0), "order-one", OrderTracker.OrderVerb.START, false, List.of(0));
         supervisor.nextAction(ms(0));
@@ -114,7 +114,7 @@
     }
 
     @Test
-    void aRestartIsDoneWhenItsSuccessorServes() {
+    void restartIsDoneWhenTheNewProcessServes() {
         OrderTracker orders = new OrderTracker(List.of(supervisor));
         supervisor.start(ms(0));
         supervisor.nextAction(ms(0));
@@ -135,61 +135,61 @@
         assertEquals(OrderTracker.OrderProgress.DONE, restart.progress(0));
     }
 
-    /** Any orders, deaths and answers: never two processes, a DRAIN at most once a process, none launched that is not wanted. */
+    /** Guards against a second process, a repeated DRAIN and an undesired launch, with random sequences of orders and events. */
     @Test
-    void anyOrderOfEventsKeepsOneProcessAtTheMost() {
+    void atMostOneProcessExistsWithRandomEvents() {
         for (long seed = 0; seed < 3000; seed++) {
-            SplittableRandom chance = new SplittableRandom(seed);
-            InstanceSupervisor one = new InstanceSupervisor(SupervisorSettings.DEFAULTS, true);
+            SplittableRandom random = new SplittableRandom(seed);
+            InstanceSupervisor instance = new InstanceSupervisor(SupervisorSettings.DEFAULTS, true);
             boolean running = false;
-            boolean wanted = false;
-            int leaves = 0;
-            for (long at = 0; at < 20_000; at += chance.nextInt(300)) {
-                switch (chance.nextInt(8)) {
+            boolean desired = false;
+            int drains = 0;
+            for (long nowMillis = 0; nowMillis < 20_000; nowMillis += random.nextInt(300)) {
+                switch (random.nextInt(8)) {
                     case 0 -> {
-                        one.start(ms(at));
-                        wanted = true;
+                        instance.start(ms(nowMillis));
+                        desired = true;
                     }
                     case 1 -> {
-                        one.drain();
-                        wanted = false;
+                        instance.drain();
+                        desired = false;
                     }
                     case 2 -> {
-                        if (chance.nextInt(4) == 0) {
-                            one.kill();
-                            wanted = false;
+                        if (random.nextInt(4) == 0) {
+                            instance.kill();
+                            desired = false;
                         }
                     }
                     case 3 -> {
-                        one.restart(ms(at));
-                        wanted = true;
+                        instance.restart(ms(nowMillis));
+                        desired = true;
                     }
                     case 4 -> {
                         if (running) {
-                            one.processEnded(ms(at), "died");
+                            instance.processEnded(ms(nowMillis), "crashed");
                             running = false;
                         }
                     }
-                    case 5 -> one.statusReceived(ms(at), status("warm", 1));
+                    case 5 -> instance.statusReceived(ms(nowMillis), status("warm", 1));
                     default -> {}
                 }
-                InstanceSupervisor.SupervisorAction act = one.nextAction(ms(at));
-                if (act == InstanceSupervisor.SupervisorAction.LAUNCH) {
-                    assertTrue(!running && wanted, "seed " + seed);
-                    if (chance.nextInt(5) == 0) {
-                        one.launchFailed(ms(at), "no");
+                InstanceSupervisor.SupervisorAction action = instance.nextAction(ms(nowMillis));
+                if (action == InstanceSupervisor.SupervisorAction.LAUNCH) {
+                    assertTrue(!running && desired, "seed " + seed);
+                    if (random.nextInt(5) == 0) {
+                        instance.launchFailed(ms(nowMillis), "launch failed");
                     } else {
-                        one.processStarted(ms(at));
+                        instance.processStarted(ms(nowMillis));
                         running = true;
-                        leaves = 0;
+                        drains = 0;
                     }
-                } else if (act != InstanceSupervisor.SupervisorAction.NONE) {
+                } else if (action != InstanceSupervisor.SupervisorAction.NONE) {
                     assertTrue(running, "seed " + seed);
-                    leaves += act == InstanceSupervisor.SupervisorAction.DRAIN ? 1 : 0;
-                    assertTrue(leaves <= 1, "seed " + seed);
+                    drains += action == InstanceSupervisor.SupervisorAction.DRAIN ? 1 : 0;
+                    assertTrue(drains <= 1, "seed " + seed);
                 }
-                assertEquals(running, one.hasProcess(), "seed " + seed);
-                InstanceSupervisor.InstanceState state = one.state(ms(at));
+                assertEquals(running, instance.hasProcess(), "seed " + seed);
+                InstanceSupervisor.InstanceState state = instance.state(ms(nowMillis));
                 assertTrue(running
                         || state == InstanceSupervisor.InstanceState.DOWN
                         || state == InstanceSupervisor.InstanceState.GIVEN_UP
@@ -199,27 +199,27 @@
     }
 
     @Test
-    void slowIsToldAgainstPeersAndNotAtOnce() {
-        OutlierDetector peers = new OutlierDetector(4);
-        double[] fine = {100, 98, 103, 101};
-        double[] one = {100, 98, 40, 101};
-        peers.addSample(one);
-        peers.addSample(one);
-        assertFalse(peers.isOutlier(2));
-        peers.addSample(one);
-        assertTrue(peers.isOutlier(2));
-        double[] nearly = {100, 98, 60, 101};
+    void outlierIsDetectedAgainstPeersAfterSeveralSamples() {
+        OutlierDetector detector = new OutlierDetector(4);
+        double[] recovered = {100, 98, 103, 101};
+        double[] slowThird = {100, 98, 40, 101};
+        detector.addSample(slowThird);
+        detector.addSample(slowThird);
+        assertFalse(detector.isOutlier(2));
+        detector.addSample(slowThird);
+        assertTrue(detector.isOutlier(2));
+        double[] belowRecovery = {100, 98, 60, 101};
         for (int i = 0; i < 9; i++) {
-            peers.addSample(nearly);
+            detector.addSample(belowRecovery);
         }
-        assertTrue(peers.isOutlier(2));
+        assertTrue(detector.isOutlier(2));
         for (int i = 0; i < 3; i++) {
-            peers.addSample(fine);
+            detector.addSample(recovered);
         }
-        assertFalse(peers.isOutlier(2));
+        assertFalse(detector.isOutlier(2));
         for (int i = 0; i < 9; i++) {
-            peers.addSample(new double[] {100, Double.NaN, 10, Double.NaN});
+            detector.addSample(new double[] {100, Double.NaN, 10, Double.NaN});
         }
-        assertFalse(peers.isOutlier(2), "two are no peers");
+        assertFalse(detector.isOutlier(2), "two instances are too few for a comparison");
     }
 }
