--- a/src/main/java/merlinlever/host/run/EventHistory.java
+++ b/src/main/java/merlinlever/host/run/EventHistory.java
@@ -4,7 +4,7 @@
 import java.util.ArrayDeque;
 import java.util.List;
 
-/** The last {@value #MAX_EVENTS} events of the agent's instances. */
+/** Bounded history of the last {@value #MAX_EVENTS} instance events. */
 final class EventHistory {
 
     private static final int MAX_EVENTS = 2000;
@@ -19,7 +19,7 @@
         }
     }
 
-    /** The events with a higher number, oldest first. */
+    /** Returns the events with a higher number, oldest first. */
     List<InstanceEvent> after(long number) {
         return events.stream().filter(event -> event.number() > number).toList();
     }
--- a/src/main/java/merlinlever/host/run/HostAgent.java
+++ b/src/main/java/merlinlever/host/run/HostAgent.java
@@ -20,8 +20,9 @@
 import merlinlever.host.state.SupervisorSettings;
 
 /**
- * Carries out what the supervisors of one machine's instances decide, and reports to them what happens. Instances are named
- * by their index in the configuration. All methods are called on the thread of the event loop.
+ * Supervises the instances of one machine: performs the actions that the supervisors decide on, and reports process
+ * and status events to the supervisors. Instances are identified by their index in the configuration. All methods are
+ * called on the thread of the event loop.
  */
 public final class HostAgent {
 
@@ -32,8 +33,8 @@
     private final InstanceLedger ledger;
     private final List<HostedInstance> instances;
     private final OrderTracker orders;
-    private final OutlierDetector outliers;
-    private final PauseDetector pauses = new PauseDetector();
+    private final OutlierDetector outlierDetector;
+    private final PauseDetector pauseDetector = new PauseDetector();
     private final EventHistory history = new EventHistory();
     private final SplittableRandom random;
     private final Duration launchSpread;
@@ -41,10 +42,9 @@
     private boolean ledgerFailed;
 
     /**
-     * Adopts the processes that an agent before this one left, and begins to supervise.
+     * Adopts the processes that a previous agent launched, and starts supervision.
      *
-     * @param launchSpread the launches of the start are spread at random over this time, so that the processes do not all
-     *     begin at once
+     * @param launchSpread the initial launches are spread at random over this time, which avoids a load peak
      */
     public HostAgent(
             EventLoop loop,
@@ -67,7 +67,7 @@
                 .toList();
         orders = new OrderTracker(
                 instances.stream().map(HostedInstance::supervisor).toList());
-        outliers = new OutlierDetector(instances.size());
+        outlierDetector = new OutlierDetector(instances.size());
         instances.forEach(this::recover);
         loop.runNowAndEvery(SUPERVISION_PERIOD, this::superviseAll);
         loop.runNowAndEvery(POLL_PERIOD, this::pollAll);
@@ -77,9 +77,12 @@
         return loop.clock().now();
     }
 
-    // ---- recovery of what the agent before this one left
+    // ---- recovery after a restart of the agent
 
-    /** Adopts the process of the instance if there is one, so that none is launched twice; else starts it if desired. */
+    /**
+     * Adopts the process of the instance if one exists, which avoids a second launch; otherwise starts a desired
+     * instance.
+     */
     private void recover(HostedInstance instance) {
         InstanceRecord recorded = ledger.recordOf(instance.name());
         Optional<ProcessIdentity> process = findProcess(recorded);
@@ -101,7 +104,7 @@
                 return Optional.of(process);
             }
         }
-        // The last launch may have been made and its pid not been recorded.
+        // The previous agent may have stopped after the launch and before recording the pid.
         return recorded.token().isEmpty() ? Optional.empty() : OsProcesses.findByToken(recorded.token());
     }
 
@@ -109,7 +112,7 @@
         instance.setProcess(Optional.of(process));
         InstanceSupervisor supervisor = instance.supervisor();
         supervisor.processStarted(now());
-        addEvent(instance, "taken over, pid " + process.pid());
+        addEvent(instance, "adopted, pid " + process.pid());
         if (recorded.desired()) {
             supervisor.start(now());
         } else {
@@ -118,7 +121,7 @@
         updateRecord(instance, record -> record.withProcess(process.pid(), process.startTicks()));
     }
 
-    /** Returns whether the new record is on disk. */
+    /** Updates the record of the instance and returns whether the update is on disk. */
     private boolean updateRecord(HostedInstance instance, UnaryOperator<InstanceRecord> change) {
         try {
             ledger.update(instance.name(), change.apply(ledger.recordOf(instance.name())));
@@ -129,7 +132,7 @@
             return true;
         } catch (IOException e) {
             if (!ledgerFailed) {
-                // The operators' page names this line.
+                // The operations manual quotes this message.
                 log.write(LogEvent.info("the state cannot be written: " + e.getMessage()
                         + "; nothing is launched and no order taken until it can"));
             }
@@ -148,8 +151,9 @@
     // ---- supervision
 
     private void superviseAll() {
-        // Orders that came during the pause are rejected.
-        pauses.run(now())
+        // Orders that arrived during the pause are rejected.
+        pauseDetector
+                .recordRun(now())
                 .ifPresent(pause -> log.write(LogEvent.info("agent-was-paused").with("pause_ms", pause.toMillis())));
         instances.forEach(this::supervise);
         orders.updateProgress(now());
@@ -162,7 +166,7 @@
         switch (instance.supervisor().nextAction(now())) {
             case LAUNCH -> launch(instance);
             case DRAIN -> {
-                addEvent(instance, "told to leave");
+                addEvent(instance, "drain requested");
                 instance.process().ifPresent(OsProcesses::terminate);
             }
             case KILL -> {
@@ -176,23 +180,26 @@
 
     private void processEnded(HostedInstance instance, ProcessIdentity process) {
         instance.setProcess(Optional.empty());
-        addEvent(instance, "ended, pid " + process.pid());
-        instance.supervisor().processEnded(now(), "its process " + process.pid() + " ended");
+        addEvent(instance, "exited, pid " + process.pid());
+        instance.supervisor().processEnded(now(), "process " + process.pid() + " exited");
     }
 
     private void recordStateChange(HostedInstance instance) {
         InstanceState state = instance.supervisor().state(now());
-        Optional<InstanceState> before = instance.recordedState();
-        if (before.isPresent() && before.get() == state) {
+        Optional<InstanceState> previous = instance.recordedState();
+        if (previous.isPresent() && previous.get() == state) {
             return;
         }
         String reason = instance.supervisor().reason(now());
-        String from = before.map(earlier -> earlier.wireName() + " -> ").orElse("");
-        addEvent(instance, from + state.wireName() + (reason.isEmpty() ? "" : ": " + reason));
+        String transition = previous.map(earlier -> earlier.wireName() + " -> ").orElse("");
+        addEvent(instance, transition + state.wireName() + (reason.isEmpty() ? "" : ": " + reason));
         instance.setRecordedState(state);
     }
 
-    /** Launches a process, recorded before it is made: an agent that dies in between leaves one that is found by its token. */
+    /**
+     * Records the launch token and launches a process. After a crash of the agent, the next agent finds the process by
+     * its token.
+     */
     private void launch(HostedInstance instance) {
         InstanceSupervisor supervisor = instance.supervisor();
         String token = String.format("%016x%016x", random.nextLong(), random.nextLong());
@@ -205,11 +212,11 @@
             instance.setProcess(Optional.of(process));
             supervisor.processStarted(now());
             addEvent(instance, "launched, pid " + process.pid());
-            // If this fails, the process is still found by its token.
+            // If the update fails, the process can still be found by its token.
             updateRecord(instance, record -> record.withProcess(process.pid(), process.startTicks()));
         } catch (IOException e) {
             supervisor.launchFailed(now(), e.getMessage());
-            addEvent(instance, "cannot be launched: " + e.getMessage());
+            addEvent(instance, "launch failed: " + e.getMessage());
         }
     }
 
@@ -223,13 +230,13 @@
             LogRotation.rotateIfTooLong(instance.spec());
             poll(instance);
         }
-        outliers.addSample(capacities);
+        outlierDetector.addSample(capacities);
         for (int i = 0; i < capacities.length; i++) {
-            instances.get(i).supervisor().setOutlier(outliers.isOutlier(i));
+            instances.get(i).supervisor().setOutlier(outlierDetector.isOutlier(i));
         }
     }
 
-    /** NaN where the instance is warming up, or its capacity is not known. */
+    /** Returns NaN if the instance is not warm or its capacity is unknown. */
     private double comparableCapacity(InstanceSupervisor supervisor) {
         if (supervisor.state(now()) == InstanceState.UNREACHABLE) {
             return Double.NaN;
@@ -243,15 +250,15 @@
 
     private void poll(HostedInstance instance) {
         Optional<ProcessIdentity> polledProcess = instance.process();
-        if (polledProcess.isEmpty() || instance.spec().managementAddress().isEmpty() || instance.isPolled()) {
+        if (polledProcess.isEmpty() || instance.spec().managementAddress().isEmpty() || instance.isPollInFlight()) {
             return;
         }
-        instance.setPolled(true);
-        StatusPoll.ofInstance(loop, instance.spec().managementAddress().get(), answer -> {
-            instance.setPolled(false);
-            // The status of a process that has ended says nothing about the next one.
+        instance.setPollInFlight(true);
+        StatusPoll.ofInstance(loop, instance.spec().managementAddress().get(), reply -> {
+            instance.setPollInFlight(false);
+            // Ignores a status report if the process was replaced after the poll began.
             if (polledProcess.equals(instance.process())) {
-                answer.ifPresent(status -> instance.supervisor().statusReceived(now(), status));
+                reply.ifPresent(status -> instance.supervisor().statusReceived(now(), status));
             }
         });
     }
@@ -259,10 +266,10 @@
     // ---- orders and reports
 
     /**
-     * Carries out an order, once for its id, or returns nothing if it cannot be recorded on disk; an order that was
-     * recorded for some of its instances only is not carried out for any.
+     * Applies an order once per id. Returns empty if the order cannot be recorded on disk; an order that was recorded
+     * for only some of its instances is not applied to any of them.
      *
-     * @param immediate whether instances that are to end are killed in place of drained
+     * @param immediate whether a drain or stop order kills the instances instead of draining them
      */
     public Optional<OrderTracker.Order> accept(
             String id, OrderTracker.OrderVerb verb, boolean immediate, List<Integer> indexes) {
@@ -272,48 +279,51 @@
                     return Optional.empty();
                 }
             }
-            String event = verb.wireName() + (immediate ? " at once" : "") + " ordered, " + id;
+            String event = "order " + verb.wireName() + (immediate ? " (immediate)" : "") + ", id " + id;
             indexes.forEach(index -> addEvent(instances.get(index), event));
         }
         return Optional.of(orders.accept(now(), id, verb, immediate, indexes));
     }
 
-    /** The order of that id, if it is known. */
+    /** Returns the order with the given id, or empty for an unknown id. */
     public Optional<OrderTracker.Order> findOrder(String id) {
         return orders.find(id);
     }
 
-    /** Whether one more order can be accepted. */
+    /** Returns whether another order can be accepted. */
     public boolean hasOrderCapacity() {
         return orders.hasCapacity();
     }
 
-    /** Whether what is read now may have been sent while this agent was paused, and its sender have given it up. */
+    /**
+     * Returns whether input read now may have been sent while the agent was paused, and may have timed out at its
+     * sender.
+     */
     public boolean mayInputBeStale() {
-        return pauses.mayInputBeStale(now());
+        return pauseDetector.mayInputBeStale(now());
     }
 
-    /** The configuration of all instances, in the order of their indexes. */
+    /** Returns the configuration of all instances, in the order of their indexes. */
     public List<InstanceSpec> specs() {
         return instances.stream().map(HostedInstance::spec).toList();
     }
 
-    /** The supervisor of an instance. */
+    /** Returns the supervisor of an instance. */
     public InstanceSupervisor supervisor(int index) {
         return instances.get(index).supervisor();
     }
 
-    /** The process id of an instance, 0 if it has no process. */
+    /** Returns the process id of an instance, or 0 without a process. */
     public long pid(int index) {
         return instances.get(index).process().map(ProcessIdentity::pid).orElse(0L);
     }
 
-    /** The last events with a higher number, oldest first. */
+    /** Returns the recent events with a higher number, oldest first. */
     public List<InstanceEvent> eventsAfter(long number) {
         return history.after(number);
     }
 
-    /** Drains all instances, for an agent that is to end together with them. */
+    /** Drains all instances before the agent itself stops. */
     public void drainAll() {
         for (HostedInstance instance : instances) {
             instance.supervisor().drain();
@@ -321,7 +331,7 @@
         }
     }
 
-    /** Whether no instance has a process. */
+    /** Returns whether no instance has a process. */
     public boolean areAllDown() {
         return instances.stream().map(HostedInstance::supervisor).noneMatch(InstanceSupervisor::hasProcess);
     }
--- a/src/main/java/merlinlever/host/run/HostedInstance.java
+++ b/src/main/java/merlinlever/host/run/HostedInstance.java
@@ -3,14 +3,14 @@
 import java.util.Optional;
 import merlinlever.host.state.InstanceSupervisor;
 
-/** One instance of the machine: its configuration, its supervisor and its process. */
+/** Configuration, supervisor and process of one instance of the machine. */
 final class HostedInstance {
 
     private final InstanceSpec spec;
     private final InstanceSupervisor supervisor;
     private Optional<OsProcesses.ProcessIdentity> process = Optional.empty();
     private Optional<InstanceSupervisor.InstanceState> recordedState = Optional.empty();
-    private boolean polled;
+    private boolean pollInFlight;
 
     HostedInstance(InstanceSpec spec, InstanceSupervisor supervisor) {
         this.spec = spec;
@@ -37,7 +37,7 @@
         process = current;
     }
 
-    /** The state of which the last event told. */
+    /** Returns the state in the most recent state change event. */
     Optional<InstanceSupervisor.InstanceState> recordedState() {
         return recordedState;
     }
@@ -46,12 +46,12 @@
         recordedState = Optional.of(state);
     }
 
-    /** Whether its answer to a poll is awaited. */
-    boolean isPolled() {
-        return polled;
+    /** Returns whether a status poll is in flight. */
+    boolean isPollInFlight() {
+        return pollInFlight;
     }
 
-    void setPolled(boolean isPolled) {
-        polled = isPolled;
+    void setPollInFlight(boolean isInFlight) {
+        pollInFlight = isInFlight;
     }
 }
--- a/src/main/java/merlinlever/host/run/InstanceEvent.java
+++ b/src/main/java/merlinlever/host/run/InstanceEvent.java
@@ -3,10 +3,10 @@
 import java.time.Duration;
 
 /**
- * Something that happened to an instance.
+ * Event of an instance.
  *
- * @param number counts the events of the agent from 1
- * @param at the time since the start of the agent's clock
- * @param text for operators
+ * @param number sequence number among the events of the agent, from 1
+ * @param at time of the event on the clock of the agent
+ * @param text description for operators
  */
 public record InstanceEvent(long number, Duration at, String instance, String text) {}
--- a/src/main/java/merlinlever/host/run/InstanceSpec.java
+++ b/src/main/java/merlinlever/host/run/InstanceSpec.java
@@ -7,16 +7,16 @@
 import java.util.Optional;
 
 /**
- * One instance as the agent is configured to run it.
+ * Configuration of one instance.
  *
- * @param kind the name that instances with the same configuration share
- * @param labels by which operators select instances
- * @param command the program and its arguments
- * @param environment variables beside those of the agent
- * @param folder its working directory, in which its log is
- * @param managementAddress where it reports its status, if it does
- * @param launchedInitially whether it is launched when the agent sees it for the first time
- * @param maxLogBytes the size at which its log is rotated
+ * @param kind name shared by instances with the same configuration
+ * @param labels labels that operators use to select instances
+ * @param command program and its arguments
+ * @param environment variables added to the environment of the agent
+ * @param folder working directory, which contains the log
+ * @param managementAddress address of the status report; empty if the instance does not report its status
+ * @param launchedInitially whether an instance without a record in the ledger is launched
+ * @param maxLogBytes size at which the log is rotated
  */
 public record InstanceSpec(
         String name,
@@ -29,7 +29,7 @@
         boolean launchedInitially,
         long maxLogBytes) {
 
-    /** The file to which the process writes its output. */
+    /** Returns the file that receives the output of the process. */
     Path logFile() {
         return folder.resolve(name + ".log");
     }
--- a/src/main/java/merlinlever/host/run/JsonGet.java
+++ b/src/main/java/merlinlever/host/run/JsonGet.java
@@ -14,18 +14,18 @@
 import merlinlever.common.net.EventLoop;
 
 /**
- * One HTTP/1.1 request for a JSON document, on a connection of its own. The callback is called once, with nothing where no
- * valid answer arrives in time.
+ * Single HTTP/1.1 GET request for a JSON document, on a separate connection. The callback is called once, with an empty
+ * result if no valid response arrives before the timeout.
  */
 final class JsonGet implements Connection.Handler {
 
     /**
-     * What is asked for.
+     * Request parameters.
      *
-     * @param headers further header lines, each with its line end
-     * @param maxAnswerBytes of the head and the body together
+     * @param headers additional header lines, each with its line terminator
+     * @param maxResponseBytes maximum size of head and body together
      */
-    record Request(String path, String headers, int maxAnswerBytes) {}
+    record Request(String path, String headers, int maxResponseBytes) {}
 
     private static final Duration TIMEOUT = Duration.ofSeconds(1);
     private static final int MAX_HEAD_BYTES = 1024;
@@ -34,25 +34,26 @@
     private static final String CONTENT_LENGTH = "Content-Length: ";
     private static final ObjectMapper JSON = new ObjectMapper();
 
-    private final int maxAnswerBytes;
+    private final int maxResponseBytes;
     private final Consumer<Optional<JsonNode>> callback;
     private final EventLoop.Timer timeout;
     private boolean completed;
-    /** Null while the connection could not be opened. */
+    /** Null if the connection could not be opened. */
     private Connection connection;
 
-    private JsonGet(EventLoop loop, int maxAnswerBytes, Consumer<Optional<JsonNode>> callback) {
-        this.maxAnswerBytes = maxAnswerBytes;
+    private JsonGet(EventLoop loop, int maxResponseBytes, Consumer<Optional<JsonNode>> callback) {
+        this.maxResponseBytes = maxResponseBytes;
         this.callback = callback;
         timeout = loop.schedule(TIMEOUT, this::fail);
     }
 
     static void send(
             EventLoop loop, InetSocketAddress address, Request request, Consumer<Optional<JsonNode>> callback) {
-        JsonGet get = new JsonGet(loop, request.maxAnswerBytes, callback);
+        JsonGet get = new JsonGet(loop, request.maxResponseBytes, callback);
         String head = "GET " + request.path + " HTTP/1.1\r\nHost: it\r\n" + request.headers + "\r\n";
         try {
-            get.connection = Connection.connect(loop, address, get, request.maxAnswerBytes, MAX_REQUEST_BYTES, TIMEOUT);
+            get.connection =
+                    Connection.connect(loop, address, get, request.maxResponseBytes, MAX_REQUEST_BYTES, TIMEOUT);
             get.connection.write(StandardCharsets.US_ASCII.encode(head));
         } catch (IOException e) {
             get.fail();
@@ -63,7 +64,7 @@
         complete(Optional.empty());
     }
 
-    private void complete(Optional<JsonNode> answer) {
+    private void complete(Optional<JsonNode> response) {
         if (completed) {
             return;
         }
@@ -72,7 +73,7 @@
         if (connection != null) {
             connection.close(CloseReason.COMPLETED);
         }
-        callback.accept(answer);
+        callback.accept(response);
     }
 
     @Override
@@ -83,7 +84,7 @@
         int headLength = start.indexOf(HEAD_END);
         int contentLengthAt = start.indexOf(CONTENT_LENGTH);
         if (headLength < 0 || contentLengthAt < 0 || contentLengthAt > headLength) {
-            if (input.remaining() >= Math.min(maxAnswerBytes, MAX_HEAD_BYTES)) {
+            if (input.remaining() >= Math.min(maxResponseBytes, MAX_HEAD_BYTES)) {
                 fail();
             }
             return;
@@ -98,7 +99,7 @@
     }
 
     private void receiveBody(String head, int bodyAt, int bodyLength, ByteBuffer input) throws IOException {
-        if (bodyLength < 0 || bodyLength > maxAnswerBytes - bodyAt) {
+        if (bodyLength < 0 || bodyLength > maxResponseBytes - bodyAt) {
             fail();
         } else if (input.remaining() - bodyAt >= bodyLength) {
             byte[] body = new byte[bodyLength];
--- a/src/main/java/merlinlever/host/run/LogRotation.java
+++ b/src/main/java/merlinlever/host/run/LogRotation.java
@@ -7,14 +7,15 @@
 import java.nio.file.StandardCopyOption;
 import java.nio.file.StandardOpenOption;
 
-/** Keeps the logs of instances short, while the instances append to them. */
+/** Limits the size of the logs of running instances. */
 final class LogRotation {
 
     private LogRotation() {}
 
     /**
-     * Copies a log over its size limit to one older part and truncates it. The process appends at the end of the file
-     * wherever that is, so it need not know. A failure is ignored: the caller tries again soon.
+     * Copies a log that exceeds its size limit to the file with the suffix {@code .1} and truncates the log. The
+     * process writes in append mode and needs no notification. Errors are ignored because the next poll repeats the
+     * rotation.
      */
     static void rotateIfTooLong(InstanceSpec instance) {
         Path file = instance.logFile();
@@ -27,7 +28,7 @@
                 }
             }
         } catch (IOException e) {
-            // Tried again with the next poll.
+            // The next poll repeats the rotation.
         }
     }
 }
--- a/src/main/java/merlinlever/host/run/OsProcesses.java
+++ b/src/main/java/merlinlever/host/run/OsProcesses.java
@@ -10,31 +10,31 @@
 import java.util.OptionalLong;
 import java.util.stream.Stream;
 
-/** Launches, finds and signals processes of the operating system, which are identified as in Linux' {@code /proc}. */
+/** Launches, finds and signals operating system processes. Requires the {@code /proc} file system of Linux. */
 public final class OsProcesses {
 
-    /** The environment variable with the token of the launch, by which a process is found again. */
+    /** Environment variable with the launch token, which identifies a process after a restart of the agent. */
     public static final String TOKEN = "MERLINLEVER_LAUNCH";
 
     private static final Path PROC = Path.of("/proc");
     private static final Path NULL_DEVICE = Path.of("/dev/null");
-    /** The start of a process that had ended before it was looked at; no process has it. */
+    /** Start time of a process that exited before its start time was read; no other process has this value. */
     private static final long UNKNOWN_START = -1;
 
-    // proc(5), /proc/PID/stat; counted from the first field after the name.
+    // Field indexes in /proc/PID/stat, see proc(5), counted from the first field after the name.
     private static final int STAT_STATE_FIELD = 0;
     private static final int STAT_START_TIME_FIELD = 19;
 
     /**
-     * A process, told apart from a later one with the same pid.
+     * Identity of a process; a later process with the same pid has a different identity.
      *
-     * @param startTicks when it began, in the kernel's clock ticks since boot
+     * @param startTicks start time in clock ticks of the kernel since boot
      */
     public record ProcessIdentity(long pid, long startTicks) {}
 
     private OsProcesses() {}
 
-    /** Launches a command in a folder, with its output appended to the log file. */
+    /** Launches the process of an instance in its folder and appends the output to the log file. */
     static ProcessIdentity launch(InstanceSpec instance, String token) throws IOException {
         Files.createDirectories(instance.folder());
         ProcessBuilder builder = new ProcessBuilder(instance.command())
@@ -49,11 +49,11 @@
         return new ProcessIdentity(pid, startTicks(pid).orElse(UNKNOWN_START));
     }
 
-    /** When the process began; empty where there is none of that pid, or only a zombie. */
+    /** Returns the start time of the process, or empty if the process does not exist or is a zombie. */
     private static OptionalLong startTicks(long pid) {
         try {
             String stat = Files.readString(PROC.resolve(pid + "/stat"), StandardCharsets.ISO_8859_1);
-            // The name stands in parentheses and may contain any character.
+            // The name is enclosed in parentheses and may contain any character.
             String[] fields = stat.substring(stat.lastIndexOf(')') + 2).split(" ");
             boolean isDead = fields[STAT_STATE_FIELD].equals("Z") || fields[STAT_STATE_FIELD].equals("X");
             return isDead ? OptionalLong.empty() : OptionalLong.of(Long.parseLong(fields[STAT_START_TIME_FIELD]));
@@ -67,7 +67,7 @@
         return ticks.isPresent() && ticks.getAsLong() == process.startTicks;
     }
 
-    /** The process that was launched with the token. */
+    /** Returns the running process that was launched with the token, or empty. */
     static Optional<ProcessIdentity> findByToken(String token) {
         String variable = TOKEN + "=" + token;
         try (Stream<Path> entries = Files.list(PROC)) {
@@ -94,17 +94,17 @@
             String environment = Files.readString(process.resolve("environ"), StandardCharsets.ISO_8859_1);
             return Arrays.asList(environment.split("\0")).contains(variable);
         } catch (IOException e) {
-            // Of another user, or ended meanwhile.
+            // The process belongs to another user or has exited.
             return false;
         }
     }
 
-    /** Asks the process to end. */
+    /** Requests a graceful shutdown (SIGTERM). */
     static void terminate(ProcessIdentity process) {
         handle(process).ifPresent(ProcessHandle::destroy);
     }
 
-    /** Ends the process at once. */
+    /** Kills the process (SIGKILL). */
     static void kill(ProcessIdentity process) {
         handle(process).ifPresent(ProcessHandle::destroyForcibly);
     }
--- a/src/main/java/merlinlever/host/run/PauseDetector.java
+++ b/src/main/java/merlinlever/host/run/PauseDetector.java
@@ -3,12 +3,12 @@
 import java.time.Duration;
 import java.util.Optional;
 
-/** Notices that the agent itself was stopped or held up for a while, by the time between its periodic runs. */
+/** Detects pauses of the agent process by the time between its periodic runs. */
 final class PauseDetector {
 
-    /** Without a run for longer than this, the agent was paused. */
+    /** A longer time between two runs is a pause. */
     private static final Duration MAX_GAP = Duration.ofSeconds(2);
-    /** What is read this long after a pause may have been sent during it. */
+    /** Time after a pause in which received input may have been sent during the pause. */
     private static final Duration STALE_INPUT_PERIOD = Duration.ofMillis(500);
 
     /** Null before the first run. */
@@ -16,8 +16,8 @@
 
     private Duration staleInputUntil = Duration.ZERO;
 
-    /** Records a periodic run, and returns the length of the pause that it ended, if there was one. */
-    Optional<Duration> run(Duration now) {
+    /** Records a periodic run. Returns the duration of the preceding pause, or empty without a pause. */
+    Optional<Duration> recordRun(Duration now) {
         Optional<Duration> pause = isPaused(now) ? Optional.of(now.minus(lastRun)) : Optional.empty();
         if (pause.isPresent()) {
             staleInputUntil = now.plus(STALE_INPUT_PERIOD);
@@ -26,7 +26,7 @@
         return pause;
     }
 
-    /** Whether what is read now may have been sent during a pause, and its sender have given it up. */
+    /** Returns whether input read now may have been sent during a pause, and may have timed out at its sender. */
     boolean mayInputBeStale(Duration now) {
         return isPaused(now) || now.compareTo(staleInputUntil) < 0;
     }
--- a/src/main/java/merlinlever/host/run/PeerAgents.java
+++ b/src/main/java/merlinlever/host/run/PeerAgents.java
@@ -16,30 +16,30 @@
 import merlinlever.fleet.membership.net.MembershipTransport;
 
 /**
- * The reports of the other agents about their instances. They are asked on demand; the last report of each is kept with its
- * age, also when the agent does not answer any more. All methods are called on the thread of the event loop.
+ * Instance reports of the other agents. The agents are polled on demand; the last report of each agent is cached with
+ * its age, also after the agent has stopped responding. All methods are called on the thread of the event loop.
  */
 public final class PeerAgents {
 
     /**
-     * What is known of one other agent.
+     * Membership and last report of another agent.
      *
-     * @param timeSinceStatusChange how long its membership status is as it is
-     * @param report its last report, empty before the first
+     * @param timeSinceStatusChange time since the last change of the membership status
+     * @param report last report, or empty before the first report
      */
     public record PeerAgent(MemberRecord member, Duration timeSinceStatusChange, Optional<PeerReport> report) {}
 
     /**
      * The last report of an agent.
      *
-     * @param body as the agent answered {@code GET /instances}
-     * @param age since it arrived
+     * @param body response of the agent to {@code GET /instances}
+     * @param age time since the report arrived
      */
     public record PeerReport(JsonNode body, Duration age) {}
 
     private record CachedReport(JsonNode body, Duration receivedAt) {}
 
-    /** An agent with a younger report is not asked again. */
+    /** An agent with a more recent report is not polled again. */
     private static final Duration MAX_CACHE_AGE = Duration.ofMillis(200);
 
     private static final int MAX_CONCURRENT_POLLS = 64;
@@ -49,27 +49,29 @@
     private final String secret;
     private final Map<String, CachedReport> reports = new HashMap<>();
     private final List<Runnable> callbacks = new ArrayList<>();
-    /** Agents that are still to be asked, the next one last. */
-    private final ArrayDeque<MemberRecord> unasked = new ArrayDeque<>();
+    /** Agents that have not been polled in the current refresh; the next agent is last. */
+    private final ArrayDeque<MemberRecord> pendingPolls = new ArrayDeque<>();
 
     private int openPolls;
 
-    /** Knows the agents by the membership; they are asked with the secret that all agents share. */
+    /** @param secret shared secret of all agents, sent with each poll */
     public PeerAgents(EventLoop loop, SwimProtocol membership, String secret) {
         this.loop = loop;
         this.membership = membership;
         this.secret = secret;
     }
 
-    /** Asks all agents that are not known to be gone, and runs the callback when each has answered or timed out. */
+    /**
+     * Polls all agents that are neither dead nor left; runs the callback when every poll has completed or timed out.
+     */
     public void refresh(Runnable callback) {
         callbacks.add(callback);
         if (openPolls > 0) {
-            // A refresh is under way; its reports are new enough.
+            // The refresh in progress provides reports that are recent enough.
             return;
         }
         Duration now = loop.clock().now();
-        otherMembers().stream().filter(member -> needsPoll(now, member)).forEach(unasked::addLast);
+        otherMembers().stream().filter(member -> needsPoll(now, member)).forEach(pendingPolls::addLast);
         pollNext();
     }
 
@@ -89,12 +91,12 @@
     }
 
     private void pollNext() {
-        while (openPolls < MAX_CONCURRENT_POLLS && !unasked.isEmpty()) {
-            MemberRecord member = unasked.removeLast();
+        while (openPolls < MAX_CONCURRENT_POLLS && !pendingPolls.isEmpty()) {
+            MemberRecord member = pendingPolls.removeLast();
             InetSocketAddress address = MembershipTransport.parseAddress(member.apiAddress());
             if (address != null) {
                 openPolls++;
-                StatusPoll.ofAgent(loop, address, secret, answer -> pollEnded(member, answer));
+                StatusPoll.ofAgent(loop, address, secret, response -> pollEnded(member, response));
             }
         }
         if (openPolls == 0) {
@@ -104,15 +106,15 @@
         }
     }
 
-    private void pollEnded(MemberRecord member, Optional<JsonNode> answer) {
+    private void pollEnded(MemberRecord member, Optional<JsonNode> response) {
         openPolls--;
-        answer.filter(body -> body.path("host").asText().equals(member.name()))
+        response.filter(body -> body.path("host").asText().equals(member.name()))
                 .ifPresent(body -> reports.put(
                         member.name(), new CachedReport(body, loop.clock().now())));
         pollNext();
     }
 
-    /** All other agents, with their last reports. */
+    /** Returns all other agents with their last reports. */
     public List<PeerAgent> all() {
         Duration now = loop.clock().now();
         return otherMembers().stream()
--- a/src/main/java/merlinlever/host/run/StatusPoll.java
+++ b/src/main/java/merlinlever/host/run/StatusPoll.java
@@ -11,25 +11,25 @@
 import merlinlever.common.net.EventLoop;
 import merlinlever.host.state.InstanceStatus;
 
-/** Asks an instance or another agent once for its status. */
+/** Requests the status of an instance or of another agent once. */
 final class StatusPoll {
 
     private static final int MAX_INSTANCE_BYTES = 32 * 1024;
-    /** An agent reports all its instances. */
+    /** Larger than the limit of an instance because an agent reports all its instances. */
     private static final int MAX_AGENT_BYTES = 2 * 1024 * 1024;
 
     private StatusPoll() {}
 
-    /** Passes on the status of an instance, or nothing where it gives no valid answer in time. */
+    /** Passes the status of an instance to the callback, or empty without a valid response before the timeout. */
     static void ofInstance(EventLoop loop, InetSocketAddress address, Consumer<Optional<InstanceStatus>> callback) {
         JsonGet.send(
                 loop,
                 address,
                 new JsonGet.Request("/state", "", MAX_INSTANCE_BYTES),
-                answer -> callback.accept(answer.flatMap(StatusPoll::parse)));
+                response -> callback.accept(response.flatMap(StatusPoll::parse)));
     }
 
-    /** Passes on what another agent reports of its instances, or nothing where it gives no valid answer in time. */
+    /** Passes the report of another agent to the callback, or empty without a valid response before the timeout. */
     static void ofAgent(
             EventLoop loop, InetSocketAddress address, String secret, Consumer<Optional<JsonNode>> callback) {
         String authorization = "Authorization: Bearer " + secret + "\r\n";
--- a/src/main/java/merlinlever/host/run/package-info.java
+++ b/src/main/java/merlinlever/host/run/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The host agent at work: launches and watches the processes of one machine's instances, polls them, and asks the other
- * agents. Everything runs on the thread of the event loop.
+ * Runtime of the host agent: launches and monitors the processes of the instances of one machine, polls the status of
+ * the instances, and polls the other agents. All code runs on the thread of the event loop.
  */
 package merlinlever.host.run;
--- a/src/main/java/merlinlever/host/state/InstanceStatus.java
+++ b/src/main/java/merlinlever/host/state/InstanceStatus.java
@@ -65,7 +65,10 @@
             @JsonProperty("number") String number,
             @JsonProperty("digest") String digest) {}
 
-    /** Returns whether the instance reports full speed, which makes its capacity comparable with the capacity of its peers. */
+    /**
+     * Returns whether the instance reports full speed, which makes its capacity comparable with the capacity of its
+     * peers.
+     */
     public boolean reportsWarm() {
         return phase() == ReportedPhase.WARM;
     }
--- a/src/main/java/merlinlever/host/state/InstanceSupervisor.java
+++ b/src/main/java/merlinlever/host/state/InstanceSupervisor.java
@@ -7,10 +7,10 @@
 import merlinlever.common.WireNamed;
 
 /**
- * State machine of one instance: decides when to launch, drain or kill the process, and reports the state of the instance.
- * An instance whose process exists but does not answer is unreachable; no second process is launched for the instance. The
- * supervisor performs no I/O and has no thread or clock: the agent reports each event with the current time, and carries out
- * the actions.
+ * State machine of one instance: decides when to launch, drain or kill the process, and reports the state of the
+ * instance. An instance whose process exists but does not answer is unreachable; no second process is launched for the
+ * instance. The supervisor performs no I/O and has no thread or clock: the agent reports each event with the current
+ * time, and carries out the actions.
  */
 public final class InstanceSupervisor {
 
@@ -123,8 +123,8 @@
     // ---- orders
 
     /**
-     * Sets the desired state to running. An instance that is draining is launched again after its process has exited; an
-     * instance that was given up is launched again with an empty crash history.
+     * Sets the desired state to running. An instance that is draining is launched again after its process has exited;
+     * an instance that was given up is launched again with an empty crash history.
      */
     public void start(Duration now) {
         if (desiredState == DesiredState.STOPPED || processState == ProcessState.GIVEN_UP) {
@@ -347,7 +347,9 @@
         return Optional.ofNullable(lastStatus);
     }
 
-    /** Returns the age of the last status report, also after the process has exited, or empty before the first report. */
+    /**
+     * Returns the age of the last status report, also after the process has exited, or empty before the first report.
+     */
     public Optional<Duration> statusAge(Duration now) {
         return Optional.ofNullable(lastStatusAt).map(now::minus);
     }
--- a/src/main/java/merlinlever/host/state/OrderTracker.java
+++ b/src/main/java/merlinlever/host/state/OrderTracker.java
@@ -9,9 +9,9 @@
 import merlinlever.common.WireNamed;
 
 /**
- * Applies orders of operators to the supervisors and tracks their progress. Each order has an id, and repeated orders with
- * the same id are applied once. A later order for an instance supersedes an earlier order. The tracker keeps at most
- * {@value #MAX_ORDERS} orders for progress queries, and evicts the oldest finished order first.
+ * Applies orders of operators to the supervisors and tracks their progress. Each order has an id, and repeated orders
+ * with the same id are applied once. A later order for an instance supersedes an earlier order. The tracker keeps at
+ * most {@value #MAX_ORDERS} orders for progress queries, and evicts the oldest finished order first.
  */
 public final class OrderTracker {
 
--- a/src/main/java/merlinlever/host/state/RollingRestart.java
+++ b/src/main/java/merlinlever/host/state/RollingRestart.java
@@ -11,10 +11,10 @@
 
 /**
  * State machine of a rolling restart: decides which instances to restart next, when to wait, and when to stop after a
- * failure. All instances of a batch run on the same machine. At most a configured fraction of the fleet is unavailable at
- * once, whatever the cause. The next batch begins when the restarted instances are warm and the rejection rate is close to
- * the baseline. The class performs no I/O and has no thread or clock: the {@code fleet} command passes in observations and
- * restarts the returned instances.
+ * failure. All instances of a batch run on the same machine. At most a configured fraction of the fleet is unavailable
+ * at once, whatever the cause. The next batch begins when the restarted instances are warm and the rejection rate is
+ * close to the baseline. The class performs no I/O and has no thread or clock: the {@code fleet} command passes in
+ * observations and restarts the returned instances.
  */
 public final class RollingRestart {
 
@@ -48,9 +48,11 @@
      * Settings of a rolling restart.
      *
      * @param batchSize maximum number of instances that are restarted at once
-     * @param maxUnavailableFraction fraction of the fleet that may be unavailable at once, 0 to 1; at least one instance may
+     * @param maxUnavailableFraction fraction of the fleet that may be unavailable at once, 0 to 1; at least one
+     *     instance may
      * @param warmUpTimeout time within which a restarted instance has to serve requests again
-     * @param observationPeriod time over which the rejection rate is measured before the first batch and after each batch
+     * @param observationPeriod time over which the rejection rate is measured before the first batch and after each
+     *     batch
      * @param maxRejectionRatio maximum ratio of the rejection rate to the baseline; a higher ratio stops the restart
      */
     public record RollingRestartSettings(
@@ -60,7 +62,9 @@
             Duration observationPeriod,
             double maxRejectionRatio) {}
 
-    /** Rejections per second tolerated above the limit: a single rejection in an idle fleet does not stop the restart. */
+    /**
+     * Rejections per second tolerated above the limit: a single rejection in an idle fleet does not stop the restart.
+     */
     private static final double TOLERATED_REJECTION_RATE = 1;
 
     private static final double MILLIS_PER_SECOND = Duration.ofSeconds(1).toMillis();
@@ -123,7 +127,10 @@
         return new ArrayList<>(pending);
     }
 
-    /** Returns the instances to restart now, given an observation of the whole fleet; empty while waiting and at the end. */
+    /**
+     * Returns the instances to restart now, given an observation of the whole fleet; empty while waiting and at the
+     * end.
+     */
     public List<String> nextBatch(Duration now, List<InstanceObservation> fleet) {
         if (isOver()) {
             return List.of();
--- a/src/test/java/merlinlever/host/run/FakeInstance.java
+++ b/src/test/java/merlinlever/host/run/FakeInstance.java
@@ -9,8 +9,8 @@
 import merlinlever.common.net.MonotonicClock;
 
 /**
- * An instance that does nothing but tell of itself: arguments are its port, and a file whose first word says what it does at
- * SIGTERM ("500" takes so many milliseconds to answer what it has read) or at once ("crash").
+ * Instance that serves only its status. The arguments are the management port and the path of a mode file, which
+ * contains the duration of the drain after SIGTERM in milliseconds, or "crash" for an exit at startup.
  */
 final class FakeInstance {
 
@@ -22,29 +22,30 @@
             System.exit(3);
         }
         EventLoop loop = new EventLoop(MonotonicClock.system(), Throwable::printStackTrace);
-        boolean[] leaving = {false};
-        ManagementServer[] manage = new ManagementServer[1];
+        boolean[] draining = {false};
+        ManagementServer[] managementServer = new ManagementServer[1];
         loop.execute(() -> {
             try {
-                manage[0] = new ManagementServer(
+                managementServer[0] = new ManagementServer(
                         loop,
                         new InetSocketAddress("127.0.0.1", Integer.parseInt(args[0])),
                         () -> "{\"phase\":\""
-                                + (leaving[0]
+                                + (draining[0]
                                         ? "leaving"
                                         : loop.clock().uptime().toMillis() < 300 ? "cold" : "warm")
-                                + "\",\"healthy\":true,\"hung\":false,\"held\":0,\"running\":1,\"in_hand\":5,\"capacity\":10,\"pushed_back\":{\"chance\":2}}");
+                                + "\",\"healthy\":true,\"hung\":false,\"held\":0,\"running\":1,"
+                                + "\"in_hand\":5,\"capacity\":10,\"pushed_back\":{\"chance\":2}}");
             } catch (Exception e) {
                 e.printStackTrace();
                 Runtime.getRuntime().halt(4);
             }
         });
         Runtime.getRuntime().addShutdownHook(new Thread(() -> {
-            leaving[0] = true;
+            draining[0] = true;
             try {
                 Thread.sleep(Long.parseLong(mode));
             } catch (InterruptedException e) {
-                // Ends.
+                // The process exits.
             }
         }));
         System.out.println("up");
--- a/src/test/java/merlinlever/host/run/HostAgentTest.java
+++ b/src/test/java/merlinlever/host/run/HostAgentTest.java
@@ -35,7 +35,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The agent with real processes, audited by the process table. */
+/** Runs the agent with real processes and checks them against the process table. */
 class HostAgentTest {
 
     @TempDir
@@ -50,7 +50,7 @@
     private final List<String> log = new ArrayList<>();
 
     @BeforeEach
-    void describe() throws Exception {
+    void setUp() throws Exception {
         specs = new ArrayList<>();
         for (int i = 0; i < 3; i++) {
             int port = PortAllocator.free();
@@ -76,10 +76,10 @@
                     true,
                     4096));
         }
-        begin(1);
+        startAgent(1);
     }
 
-    private void begin(long seed) throws Exception {
+    private void startAgent(long seed) throws Exception {
         loop = new EventLoop(MonotonicClock.system(), Throwable::printStackTrace);
         ledger = new InstanceLedger(folder.resolve("state"));
         SupervisorSettings defaults = SupervisorSettings.DEFAULTS;
@@ -113,88 +113,92 @@
         loopThread.start();
     }
 
-    /** The agent is gone as by a kill: nothing more is noted. */
+    /** Stops the agent as a kill does: the ledger receives no further update. */
     private void killAgent() throws Exception {
-        CompletableFuture<Void> over = new CompletableFuture<>();
+        CompletableFuture<Void> finished = new CompletableFuture<>();
         loop.execute(() -> {
             server.close();
             loop.stop();
-            over.complete(null);
+            finished.complete(null);
         });
-        over.get(2, TimeUnit.SECONDS);
+        finished.get(2, TimeUnit.SECONDS);
         loopThread.join(2000);
         assertFalse(loopThread.isAlive());
         ledger.close();
     }
 
     @AfterEach
-    void end() throws Exception {
+    void tearDown() throws Exception {
         killAgent();
-        for (long pid : table().keySet()) {
+        for (long pid : processTable().keySet()) {
             ProcessHandle.of(pid).ifPresent(ProcessHandle::destroyForcibly);
         }
     }
 
-    /** The auditor's own view: pid and name of every process launched for this test, wherever it came from. */
-    private Map<Long, String> table() throws Exception {
+    /**
+     * Returns pid and mode file of every process launched for this test, read from /proc independently of the agent.
+     */
+    private Map<Long, String> processTable() throws Exception {
         Map<Long, String> table = new TreeMap<>();
-        try (var all = Files.list(Path.of("/proc"))) {
-            for (Path each : all.filter(path -> path.getFileName().toString().matches("[0-9]+"))
+        try (var entries = Files.list(Path.of("/proc"))) {
+            for (Path process : entries.filter(
+                            path -> path.getFileName().toString().matches("[0-9]+"))
                     .toList()) {
                 try {
                     String line =
-                            Files.readString(each.resolve("cmdline"), java.nio.charset.StandardCharsets.ISO_8859_1);
-                    String stat = Files.readString(each.resolve("stat"), java.nio.charset.StandardCharsets.ISO_8859_1);
+                            Files.readString(process.resolve("cmdline"), java.nio.charset.StandardCharsets.ISO_8859_1);
+                    String stat =
+                            Files.readString(process.resolve("stat"), java.nio.charset.StandardCharsets.ISO_8859_1);
                     if (line.contains("FakeInstance")
                             && line.contains(folder.toString())
                             && stat.charAt(stat.lastIndexOf(')') + 2) != 'Z') {
                         table.put(
-                                Long.parseLong(each.getFileName().toString()),
+                                Long.parseLong(process.getFileName().toString()),
                                 line.substring(line.lastIndexOf("mode"), line.lastIndexOf("mode") + 5));
                     }
                 } catch (java.io.IOException e) {
-                    // Gone meanwhile.
+                    // The process has exited.
                 }
             }
         }
         return table;
     }
 
-    private <T> T on(Supplier<T> what) throws Exception {
-        CompletableFuture<T> got = new CompletableFuture<>();
-        loop.execute(() -> got.complete(what.get()));
-        return got.get(5, TimeUnit.SECONDS);
+    private <T> T callOnLoop(Supplier<T> supplier) throws Exception {
+        CompletableFuture<T> result = new CompletableFuture<>();
+        loop.execute(() -> result.complete(supplier.get()));
+        return result.get(5, TimeUnit.SECONDS);
     }
 
     private InstanceSupervisor.InstanceState state(int index) throws Exception {
-        return on(() -> agent.supervisor(index).state(loop.clock().now()));
+        return callOnLoop(() -> agent.supervisor(index).state(loop.clock().now()));
     }
 
-    /** Waits until the condition holds, which is checked on the loop's thread; the time is the bound. */
-    private void waitUntil(Duration bound, BooleanSupplier condition) throws Exception {
-        CompletableFuture<Void> held = new CompletableFuture<>();
-        loop.execute(() -> check(condition, held));
+    /** Waits until the condition, which is checked on the loop thread, is true, or until the timeout. */
+    private void waitUntil(Duration timeout, BooleanSupplier condition) throws Exception {
+        CompletableFuture<Void> satisfied = new CompletableFuture<>();
+        loop.execute(() -> check(condition, satisfied));
         try {
-            held.get(bound.toMillis(), TimeUnit.MILLISECONDS);
+            satisfied.get(timeout.toMillis(), TimeUnit.MILLISECONDS);
         } catch (TimeoutException e) {
-            // The caller asserts what it waited for.
-            held.cancel(false);
+            // The test asserts the condition itself.
+            satisfied.cancel(false);
         }
     }
 
-    private void check(BooleanSupplier condition, CompletableFuture<Void> held) {
+    private void check(BooleanSupplier condition, CompletableFuture<Void> satisfied) {
         if (condition.getAsBoolean()) {
-            held.complete(null);
-        } else if (!held.isDone()) {
-            loop.schedule(Duration.ofMillis(20), () -> check(condition, held));
+            satisfied.complete(null);
+        } else if (!satisfied.isDone()) {
+            loop.schedule(Duration.ofMillis(20), () -> check(condition, satisfied));
         }
     }
 
-    /** Lets the agent run for a while, in which something must not happen. */
+    /** Lets the agent run for the given time; the test then asserts that an event has not occurred. */
     private void runAgentFor(Duration time) throws Exception {
-        CompletableFuture<Void> over = new CompletableFuture<>();
-        loop.execute(() -> loop.schedule(time, () -> over.complete(null)));
-        over.get(time.toMillis() + 5000, TimeUnit.MILLISECONDS);
+        CompletableFuture<Void> finished = new CompletableFuture<>();
+        loop.execute(() -> loop.schedule(time, () -> finished.complete(null)));
+        finished.get(time.toMillis() + 5000, TimeUnit.MILLISECONDS);
     }
 
     private void await(int index, InstanceSupervisor.InstanceState desired, long ms) throws Exception {
@@ -205,7 +209,7 @@
     }
 
     private long pid(int index) throws Exception {
-        return on(() -> agent.pid(index));
+        return callOnLoop(() -> agent.pid(index));
     }
 
     private static void signal(String name, long pid) throws Exception {
@@ -213,39 +217,39 @@
     }
 
     @Test
-    void instancesAreLaunchedRelaunchedAndTakenOverAndNeverTwice() throws Exception {
+    void instancesAreLaunchedRelaunchedAndAdoptedWithoutDuplicates() throws Exception {
         for (int i = 0; i < 3; i++) {
             await(i, InstanceSupervisor.InstanceState.WARM, 15_000);
         }
-        assertEquals(3, table().size());
-        // One dies: launched again.
+        assertEquals(3, processTable().size());
+        // A killed instance is launched again.
         long first = pid(0);
         signal("KILL", first);
         waitUntil(Duration.ofSeconds(5), () -> agent.pid(0) != first && agent.pid(0) != 0);
         assertNotEquals(first, pid(0));
         await(0, InstanceSupervisor.InstanceState.WARM, 10_000);
-        // One is stopped: not reached, and not launched beside itself.
+        // A suspended instance is unreachable, and no second process is launched.
         long stopped = pid(1);
         signal("STOP", stopped);
         await(1, InstanceSupervisor.InstanceState.UNREACHABLE, 5_000);
         runAgentFor(Duration.ofMillis(1500));
-        assertEquals(3, table().size());
-        // The agent dies; one instance dies meanwhile; the next agent finds the others by pid and start.
+        assertEquals(3, processTable().size());
+        // The agent and one instance are killed; the next agent finds the other instances by pid and start time.
         killAgent();
         signal("KILL", pid(2, specs));
-        begin(2);
+        startAgent(2);
         runAgentFor(Duration.ofMillis(300));
         assertEquals(stopped, pid(1));
-        assertTrue(table().containsKey(stopped));
+        assertTrue(processTable().containsKey(stopped));
         signal("CONT", stopped);
         for (int i = 0; i < 3; i++) {
             await(i, InstanceSupervisor.InstanceState.WARM, 15_000);
         }
-        assertEquals(3, table().size());
+        assertEquals(3, processTable().size());
     }
 
     private long pid(int index, List<InstanceSpec> of) throws Exception {
-        for (Map.Entry<Long, String> entry : table().entrySet()) {
+        for (Map.Entry<Long, String> entry : processTable().entrySet()) {
             if (entry.getValue().equals("mode" + index)) {
                 return entry.getKey();
             }
@@ -254,45 +258,46 @@
     }
 
     @Test
-    void aLaunchThatWasNotNotedAnyMoreIsFoundByItsToken() throws Exception {
+    void launchWithoutRecordedPidIsFoundByItsToken() throws Exception {
         for (int i = 0; i < 3; i++) {
             await(i, InstanceSupervisor.InstanceState.WARM, 15_000);
         }
-        long was = pid(0);
+        long pidBeforeKill = pid(0);
         killAgent();
-        // As after a kill between the fork and the note of it: the token alone is known.
-        try (InstanceLedger edited = new InstanceLedger(folder.resolve("state"))) {
-            edited.update(
+        // Simulates a kill between the launch and the update with the pid: only the token is recorded.
+        try (InstanceLedger updatedLedger = new InstanceLedger(folder.resolve("state"))) {
+            updatedLedger.update(
                     "t-0",
                     new InstanceLedger.InstanceRecord(
-                            true, edited.recordOf("t-0").token(), 0, 0));
-            // And a pid that now belongs to somebody else.
-            edited.update(
+                            true, updatedLedger.recordOf("t-0").token(), 0, 0));
+            // The recorded pid belongs to an unrelated process.
+            updatedLedger.update(
                     "t-1",
                     new InstanceLedger.InstanceRecord(
                             true,
-                            edited.recordOf("t-1").token(),
+                            updatedLedger.recordOf("t-1").token(),
                             ProcessHandle.current().pid(),
                             12345));
         }
-        begin(3);
+        startAgent(3);
         runAgentFor(Duration.ofMillis(300));
-        assertEquals(was, pid(0));
+        assertEquals(pidBeforeKill, pid(0));
         assertNotEquals(ProcessHandle.current().pid(), pid(1));
         await(1, InstanceSupervisor.InstanceState.WARM, 5_000);
-        assertEquals(3, table().size());
+        assertEquals(3, processTable().size());
     }
 
     @Test
-    void stopWaitsForWhatWasReadAndNowDoesNot() throws Exception {
+    void stopWaitsForTheDrainAndImmediateStopDoesNot() throws Exception {
         for (int i = 0; i < 3; i++) {
             Files.writeString(folder.resolve("mode" + i), "1500");
             await(i, InstanceSupervisor.InstanceState.WARM, 15_000);
         }
         for (int i = 0; i < 3; i++) {
-            // The mode is read at the start.
+            // An instance reads its mode at startup.
             int index = i;
-            on(() -> agent.accept("restart-number-" + index, OrderTracker.OrderVerb.RESTART, false, List.of(index)));
+            callOnLoop(() ->
+                    agent.accept("restart-number-" + index, OrderTracker.OrderVerb.RESTART, false, List.of(index)));
         }
         for (int i = 0; i < 3; i++) {
             String id = "restart-number-" + i;
@@ -303,69 +308,70 @@
         for (int i = 0; i < 3; i++) {
             await(i, InstanceSupervisor.InstanceState.WARM, 15_000);
         }
-        long began = System.nanoTime();
+        long startNanos = System.nanoTime();
         OrderTracker.Order stop =
-                on(() -> agent.accept("stop-number-one", OrderTracker.OrderVerb.STOP, false, List.of(0))
+                callOnLoop(() -> agent.accept("stop-number-one", OrderTracker.OrderVerb.STOP, false, List.of(0))
                         .orElseThrow());
         await(0, InstanceSupervisor.InstanceState.DRAINING, 2_000);
-        assertFalse(on(stop::isFinished));
+        assertFalse(callOnLoop(stop::isFinished));
         await(0, InstanceSupervisor.InstanceState.DOWN, 6_000);
-        assertTrue(System.nanoTime() - began > 1_400_000_000L);
+        assertTrue(System.nanoTime() - startNanos > 1_400_000_000L);
         waitUntil(Duration.ofMillis(150), stop::isFinished);
-        assertTrue(on(stop::isFinished));
-        began = System.nanoTime();
-        on(() -> agent.accept("stop-number-two", OrderTracker.OrderVerb.STOP, true, List.of(1)));
+        assertTrue(callOnLoop(stop::isFinished));
+        startNanos = System.nanoTime();
+        callOnLoop(() -> agent.accept("stop-number-two", OrderTracker.OrderVerb.STOP, true, List.of(1)));
         await(1, InstanceSupervisor.InstanceState.DOWN, 2_000);
-        assertTrue(System.nanoTime() - began < 1_200_000_000L);
-        // What is not wanted stays down for the next agent too.
+        assertTrue(System.nanoTime() - startNanos < 1_200_000_000L);
+        // The next agent does not launch stopped instances.
         killAgent();
-        begin(4);
+        startAgent(4);
         runAgentFor(Duration.ofMillis(500));
         assertEquals(InstanceSupervisor.InstanceState.DOWN, state(0));
-        assertEquals(1, table().size());
+        assertEquals(1, processTable().size());
     }
 
     @Test
-    void oneThatKeepsDyingIsLeftDownAndTold() throws Exception {
+    void crashingInstanceIsGivenUpAndReported() throws Exception {
         await(0, InstanceSupervisor.InstanceState.WARM, 15_000);
         Files.writeString(folder.resolve("mode0"), "crash");
         signal("KILL", pid(0));
         await(0, InstanceSupervisor.InstanceState.GIVEN_UP, 20_000);
-        int launches = (int) (long) on(() -> agent.supervisor(0).launches());
+        int launches = (int) (long) callOnLoop(() -> agent.supervisor(0).launches());
         runAgentFor(Duration.ofSeconds(1));
-        assertEquals(launches, (int) (long) on(() -> agent.supervisor(0).launches()));
-        assertTrue(on(() -> agent.supervisor(0).reason(loop.clock().now())).contains("start it manually"));
+        assertEquals(launches, (int) (long) callOnLoop(() -> agent.supervisor(0).launches()));
+        assertTrue(
+                callOnLoop(() -> agent.supervisor(0).reason(loop.clock().now())).contains("start it manually"));
         Files.writeString(folder.resolve("mode0"), "0");
-        on(() -> agent.accept("start-by-hand-1", OrderTracker.OrderVerb.START, false, List.of(0)));
+        callOnLoop(() -> agent.accept("start-by-hand-1", OrderTracker.OrderVerb.START, false, List.of(0)));
         await(0, InstanceSupervisor.InstanceState.WARM, 15_000);
     }
 
     @Test
-    void aLedgerThatIsSpoiltIsRefusedAndOneThatCannotBeWrittenTakesNoOrder() throws Exception {
+    void corruptLedgerIsRefusedAndUnwritableLedgerRejectsOrders() throws Exception {
         for (int i = 0; i < 3; i++) {
             await(i, InstanceSupervisor.InstanceState.WARM, 15_000);
         }
-        // A folder in place of the file that is written first: no note gets to the disk.
+        // A folder in place of the temporary file makes each update of the ledger fail.
         Files.createDirectory(folder.resolve("state/instances.new"));
         assertEquals(
                 Optional.empty(),
-                on(() -> agent.accept("refused-order", OrderTracker.OrderVerb.STOP, false, List.of(0))));
+                callOnLoop(() -> agent.accept("refused-order", OrderTracker.OrderVerb.STOP, false, List.of(0))));
         runAgentFor(Duration.ofMillis(300));
         assertEquals(InstanceSupervisor.InstanceState.WARM, state(0));
         signal("KILL", pid(0));
         runAgentFor(Duration.ofMillis(2500));
-        assertEquals(2, table().size(), "launched without a note");
+        assertEquals(2, processTable().size(), "number of processes while the ledger cannot be written");
         Files.delete(folder.resolve("state/instances.new"));
-        on(() -> agent.accept("start-order-1", OrderTracker.OrderVerb.START, false, List.of(0)));
+        callOnLoop(() -> agent.accept("start-order-1", OrderTracker.OrderVerb.START, false, List.of(0)));
         await(0, InstanceSupervisor.InstanceState.WARM, 15_000);
         killAgent();
-        byte[] good = Files.readAllBytes(folder.resolve("state/instances"));
-        for (int length : new int[] {0, 5, 9, good.length - 1}) {
-            Files.write(folder.resolve("state/instances"), java.util.Arrays.copyOf(good, length));
+        byte[] validLedger = Files.readAllBytes(folder.resolve("state/instances"));
+        for (int length : new int[] {0, 5, 9, validLedger.length - 1}) {
+            Files.write(folder.resolve("state/instances"), java.util.Arrays.copyOf(validLedger, length));
             assertThrows(InstanceLedger.CorruptLedgerException.class, () -> new InstanceLedger(folder.resolve("state"))
                     .close());
         }
-        Files.write(folder.resolve("state/instances"), good);
-        begin(5);
+        Files.write(folder.resolve("state/instances"), validLedger);
+        startAgent(5);
     }
 }
--- a/src/test/java/merlinlever/host/state/InstanceSupervisorTest.java
+++ b/src/test/java/merlinlever/host/state/InstanceSupervisorTest.java
@@ -135,7 +135,10 @@
         assertEquals(OrderTracker.OrderProgress.DONE, restart.progress(0));
     }
 
-    /** Guards against a second process, a repeated DRAIN and an undesired launch, with random sequences of orders and events. */
+    /**
+     * Guards against a second process, a repeated DRAIN and an undesired launch, with random sequences of orders and
+     * events.
+     */
     @Test
     void atMostOneProcessExistsWithRandomEvents() {
         for (long seed = 0; seed < 3000; seed++) {
