--- a/src/main/java/merlinlever/host/api/ApiRequest.java
+++ b/src/main/java/merlinlever/host/api/ApiRequest.java
@@ -1,9 +1,9 @@
 package merlinlever.host.api;
 
 /**
- * An authenticated request to the API.
+ * Authenticated request to the API.
  *
- * @param path with its query
+ * @param path path including the query
  */
 record ApiRequest(String method, String path, String body) {
 
--- a/src/main/java/merlinlever/host/api/ApiResponse.java
+++ b/src/main/java/merlinlever/host/api/ApiResponse.java
@@ -8,14 +8,14 @@
 import java.time.Duration;
 
 /**
- * The answer to a request.
+ * Response to an API request.
  *
- * @param status of HTTP (RFC 9110)
- * @param retryAfter when the client may send its request again; zero if nothing is said about that
+ * @param status HTTP status code (RFC 9110)
+ * @param retryAfter delay before a retry by the client, or zero without a Retry-After header
  */
 record ApiResponse(int status, JsonNode body, Duration retryAfter) {
 
-    /** RFC 4918: the state cannot be written. */
+    /** Insufficient Storage (RFC 4918): the agent cannot write its state. */
     private static final int HTTP_INSUFFICIENT_STORAGE = 507;
 
     static ApiResponse ok(JsonNode body) {
@@ -50,7 +50,7 @@
         return new ApiResponse(status, JsonNodeFactory.instance.objectNode().put("error", reason), retryAfter);
     }
 
-    /** Head and body as they are written. */
+    /** Returns the encoded head and body. */
     ByteBuffer[] encode() {
         byte[] bytes = body.toString().getBytes(StandardCharsets.UTF_8);
         String retryAfterLine =
--- a/src/main/java/merlinlever/host/api/ApiRouter.java
+++ b/src/main/java/merlinlever/host/api/ApiRouter.java
@@ -14,8 +14,8 @@
 import merlinlever.host.state.OrderTracker;
 
 /**
- * Handles the requests of the API: {@code GET /instances}, {@code GET /fleet}, {@code GET /events?after=N},
- * {@code POST /orders} and {@code GET /orders/ID}. The handlers run when the overload controller admits the request.
+ * Routes API requests to their handlers: {@code GET /instances}, {@code GET /fleet}, {@code GET /events?after=N},
+ * {@code POST /orders} and {@code GET /orders/ID}. A handler runs when the overload controller admits the request.
  */
 final class ApiRouter {
 
@@ -33,8 +33,8 @@
     private final ConnectionAcceptor acceptor;
 
     /**
-     * @param peers empty where no other agents are configured
-     * @param acceptor that accepts the connections of this API
+     * @param peers other agents; empty if none are configured
+     * @param acceptor acceptor of the API connections
      */
     ApiRouter(
             EventLoop loop,
@@ -51,7 +51,7 @@
         this.acceptor = acceptor;
     }
 
-    /** Handles a request; its response may follow later. */
+    /** Handles a request. The response may be passed to the callback later. */
     void handle(ApiRequest request, Consumer<ApiResponse> response) {
         if (request.isPost(ORDERS)) {
             handleOrder(request.body(), response);
@@ -68,7 +68,7 @@
             String id = request.path().substring(ORDER_PREFIX.length());
             admitQuery(response, () -> response.accept(orderProgress(id)));
         } else {
-            response.accept(ApiResponse.notFound("nothing is at " + request.path()));
+            response.accept(ApiResponse.notFound("no resource at " + request.path()));
         }
     }
 
@@ -82,12 +82,13 @@
     }
 
     private static ApiResponse rejected(Duration retryAfter) {
-        return ApiResponse.unavailable("turned away, nothing was done", retryAfter);
+        return ApiResponse.unavailable(
+                "request rejected because of overload or shutdown; nothing was changed", retryAfter);
     }
 
     private void handleFleet(Consumer<ApiResponse> response) {
         peers.ifPresentOrElse(
-                others -> others.refresh(() -> response.accept(fleet(others.all()))),
+                agents -> agents.refresh(() -> response.accept(fleet(agents.all()))),
                 () -> response.accept(fleet(List.of())));
     }
 
@@ -97,14 +98,14 @@
             String apiAddress = address.getAddress().getHostAddress() + ":" + address.getPort();
             return ApiResponse.ok(reports.fleet(apiAddress, others));
         } catch (IOException e) {
-            return ApiResponse.internalError("no address");
+            return ApiResponse.internalError("the address of the API is unknown");
         }
     }
 
     private ApiResponse orderProgress(String id) {
         return agent.findOrder(id)
                 .map(order -> ApiResponse.ok(reports.order(order)))
-                .orElseGet(() -> ApiResponse.notFound("no order of that id is known"));
+                .orElseGet(() -> ApiResponse.notFound("no order with this id"));
     }
 
     private void handleOrder(String body, Consumer<ApiResponse> response) {
@@ -118,25 +119,25 @@
         }
         if (agent.mayInputBeStale() && agent.findOrder(order.id()).isEmpty()) {
             response.accept(ApiResponse.unavailable(
-                    "this agent was held up, and the order may be an old one; nothing was done, send it again",
+                    "the agent was paused and the order may be outdated; nothing was changed, send the order again",
                     ORDER_RETRY_AFTER));
             return;
         }
         admission.submit(
                 loop.clock().now(),
                 Optional.of(order.id()),
-                () -> response.accept(carryOut(order)),
+                () -> response.accept(accept(order)),
                 retryAfter -> response.accept(rejected(retryAfter)));
     }
 
-    private ApiResponse carryOut(OrderRequest request) {
+    private ApiResponse accept(OrderRequest request) {
         if (!agent.hasOrderCapacity()) {
             return ApiResponse.unavailable("too many orders are under way", ORDER_RETRY_AFTER);
         }
         Optional<OrderTracker.Order> accepted =
                 agent.accept(request.id(), request.verb(), request.immediate(), request.instances());
         return accepted.map(order -> ApiResponse.ok(reports.order(order)))
-                .orElseGet(() ->
-                        ApiResponse.insufficientStorage("the agent cannot write its state; the order was not taken"));
+                .orElseGet(() -> ApiResponse.insufficientStorage(
+                        "the agent cannot write its state; the order was not accepted"));
     }
 }
--- a/src/main/java/merlinlever/host/api/ClientConnection.java
+++ b/src/main/java/merlinlever/host/api/ClientConnection.java
@@ -10,12 +10,12 @@
 import merlinlever.common.net.Connection;
 import merlinlever.common.net.EventLoop;
 
-/** The connection of one client, which carries one request and its response, and is closed then. */
+/** Client connection that carries one request and its response, and is then closed. */
 final class ClientConnection implements Connection.Handler {
 
-    /** What the server does for its connections. */
+    /** Receives the events of client connections. */
     interface Listener {
-        /** An authenticated request arrived; its response goes to the connection. */
+        /** Handles an authenticated request; the response is sent with {@link ClientConnection#send}. */
         void onRequest(ApiRequest request, ClientConnection connection);
 
         void onClosed(ClientConnection connection);
@@ -33,7 +33,7 @@
     private boolean requestReceived;
     private boolean responseWritten;
 
-    /** @param secret that the request has to carry */
+    /** @param secret shared secret required in the request */
     ClientConnection(EventLoop loop, AsynchronousSocketChannel channel, byte[] secret, Listener listener) {
         this.loop = loop;
         this.secret = secret;
@@ -42,12 +42,12 @@
         connection = Connection.accepted(loop, channel, this, MAX_REQUEST_BYTES, MAX_RESPONSE_BYTES);
     }
 
-    /** Begins to read. */
+    /** Starts reading the request. */
     void start() {
         connection.resumeReading();
     }
 
-    /** Whether nothing is owed to the client any more. */
+    /** Returns whether the response was written or the connection was closed. */
     boolean isResponseWritten() {
         return responseWritten;
     }
@@ -81,9 +81,9 @@
     private void receive(HttpMessage message) {
         Optional<ApiRequest> request = message.request();
         if (request.isEmpty()) {
-            send(ApiResponse.badRequest("not HTTP"));
+            send(ApiResponse.badRequest("the request line is not valid HTTP"));
         } else if (!isAuthenticated(message)) {
-            send(ApiResponse.unauthorized("the secret is missing or another"));
+            send(ApiResponse.unauthorized("the shared secret is missing or wrong"));
         } else {
             listener.onRequest(request.get(), this);
         }
@@ -95,7 +95,7 @@
                 .isPresent();
     }
 
-    /** Sends the response, and closes the connection when it is written. */
+    /** Sends the response and then closes the connection. */
     void send(ApiResponse response) {
         connection.write(response.encode());
     }
--- a/src/main/java/merlinlever/host/api/HostApiServer.java
+++ b/src/main/java/merlinlever/host/api/HostApiServer.java
@@ -17,19 +17,19 @@
 import merlinlever.host.run.PeerAgents;
 
 /**
- * The server of the API that the {@code fleet} commands and other agents use; {@link ApiRouter} has its routes. Each
- * connection carries one request, which has to carry the shared secret.
+ * HTTP server of the agent API, used by the {@code fleet} commands and by other agents; {@link ApiRouter} defines the
+ * routes. Each connection carries one request, which must contain the shared secret.
  */
 public final class HostApiServer implements ClientConnection.Listener {
 
     /**
-     * How the server is reached.
+     * Settings of the server.
      *
-     * @param address where it listens
-     * @param host the name of the machine
-     * @param secret that each request has to carry
-     * @param drainGrace how long new requests are accepted after a drain has begun
-     * @param seed of the random draws of its overload controller
+     * @param address listening address
+     * @param host name of the machine
+     * @param secret shared secret required in each request
+     * @param drainGrace time after the start of a drain in which new requests are still accepted
+     * @param seed random seed of the overload controller
      */
     public record Settings(InetSocketAddress address, String host, String secret, Duration drainGrace, long seed) {}
 
@@ -45,11 +45,11 @@
     private Optional<EventLoop.Timer> wakeUp = Optional.empty();
 
     /**
-     * Listens at once.
+     * Binds the address and starts to accept connections.
      *
-     * @param peers the other agents, empty where none are configured
-     * @param recovery of this agent, empty likewise
-     * @throws IOException if the address cannot be bound
+     * @param peers other agents; empty if none are configured
+     * @param recovery recovery of this agent; empty if no other agents are configured
+     * @throws IOException if binding the address fails
      */
     public HostApiServer(
             EventLoop loop,
@@ -75,7 +75,7 @@
         return loop.clock().now();
     }
 
-    /** The address at which it listens. */
+    /** Returns the listening address. */
     public InetSocketAddress address() throws IOException {
         return acceptor.address();
     }
@@ -85,17 +85,17 @@
         wakeUp = Optional.of(loop.schedule(at.minus(now()), () -> admission.wakeUp(now())));
     }
 
-    /** Begins to shut down: new requests are accepted for the grace period, and rejected from then on. */
+    /** Starts a drain: new requests are accepted during the grace period and rejected afterwards. */
     public void startDrain(Duration timeToStop) {
         admission.startDrain(now(), now().plus(timeToStop));
     }
 
-    /** Accepts no connections any more; those that are open go on. */
+    /** Stops accepting connections; open connections remain open. */
     public void close() {
         acceptor.close();
     }
 
-    /** Whether no request waits for its response. */
+    /** Returns whether every request has received its response. */
     public boolean isIdle() {
         return admission.requestsInFlight() == 0 && connections.stream().allMatch(ClientConnection::isResponseWritten);
     }
--- a/src/main/java/merlinlever/host/api/HttpMessage.java
+++ b/src/main/java/merlinlever/host/api/HttpMessage.java
@@ -5,21 +5,21 @@
 import java.util.Optional;
 
 /**
- * An HTTP/1.1 request as far as it has arrived.
+ * HTTP/1.1 request with a complete head and a possibly incomplete body.
  *
- * @param contentLength of its header, 0 without one
- * @param bearerToken of its Authorization header
- * @param body what has arrived of it
+ * @param contentLength value of the Content-Length header, or 0 without the header
+ * @param bearerToken bearer token of the Authorization header
+ * @param body received part of the body
  */
 record HttpMessage(String requestLine, int contentLength, Optional<String> bearerToken, String body) {
 
     private static final String HEAD_END = "\r\n\r\n";
-    /** Method, path and version. */
-    private static final int REQUEST_LINE_WORDS = 3;
+    /** Number of parts of a request line: method, path and version. */
+    private static final int REQUEST_LINE_PARTS = 3;
 
     private static final String AUTHORIZATION = "authorization: bearer ";
 
-    /** Parses what was received; empty while the head is incomplete. */
+    /** Parses the received text. Returns empty while the head is incomplete. */
     static Optional<HttpMessage> parse(String received) {
         int headLength = received.indexOf(HEAD_END);
         if (headLength < 0) {
@@ -41,16 +41,16 @@
         return Optional.of(new HttpMessage(lines[0], contentLength, token, body));
     }
 
-    /** Whether the whole body has arrived. */
+    /** Returns whether the whole body has arrived. */
     boolean isComplete() {
         return body.getBytes(StandardCharsets.UTF_8).length >= contentLength;
     }
 
-    /** Method and path with the body; empty if the request line is not one of HTTP. */
+    /** Returns the API request, or empty if the request line is not valid HTTP. */
     Optional<ApiRequest> request() {
-        String[] words = requestLine.split(" ");
-        return words.length == REQUEST_LINE_WORDS
-                ? Optional.of(new ApiRequest(words[0], words[1], body))
+        String[] parts = requestLine.split(" ");
+        return parts.length == REQUEST_LINE_PARTS
+                ? Optional.of(new ApiRequest(parts[0], parts[1], body))
                 : Optional.empty();
     }
 }
--- a/src/main/java/merlinlever/host/api/OrderAdmission.java
+++ b/src/main/java/merlinlever/host/api/OrderAdmission.java
@@ -19,12 +19,13 @@
 import merlinlever.driver.DecisionHandler;
 
 /**
- * Lets the overload controller decide which requests to the API are handled: queries are idempotent, orders are idempotent
- * by their id. A handler ends within the batch in which it starts; that an order is carried out once is up to the agent.
+ * Connects the API to the overload controller, which admits or rejects requests: queries are idempotent, orders are
+ * idempotent by their id. Each handler runs synchronously. The agent, not this class, ensures that an order is applied
+ * once.
  */
 final class OrderAdmission implements DecisionHandler<OrderAdmission.PendingRequest> {
 
-    /** A request: how it is handled when it is admitted, and how it is answered when it is rejected. */
+    /** A submitted request with its handler for admission and its callback for rejection. */
     static final class PendingRequest {
         private final Optional<String> orderId;
         private final Runnable handler;
@@ -39,14 +40,14 @@
         }
     }
 
-    /** The index of the priority class of queries. */
+    /** Index of the priority class of queries. */
     private static final int QUERY = 0;
-    /** The index of the priority class of orders. */
+    /** Index of the priority class of orders. */
     private static final int ORDER = 1;
 
     private static final int QUERY_WEIGHT = 1;
     private static final int ORDER_WEIGHT = 8;
-    /** For so long an order that is sent again is recognized. */
+    /** Time in which a retry of an order is recognized. */
     private static final Duration ORDER_RETENTION = Duration.ofMinutes(10);
 
     private static final int MAX_CONCURRENT_HANDLERS = 8;
@@ -62,7 +63,7 @@
     private final Consumer<Duration> wakeUpScheduler;
     private final EventLog log;
     private Duration now = Duration.ZERO;
-    /** Whether something happened since the last decisions. */
+    /** Whether an event has occurred since the last decision. */
     private boolean decisionDue;
 
     private int requestsInFlight;
@@ -73,7 +74,7 @@
         driver = new ControllerDriver<>(settings(grace), seed, this);
     }
 
-    /** The priority classes are at the indexes {@link #QUERY} and {@link #ORDER}. */
+    /** Adds the priority classes in the order of the indexes {@link #QUERY} and {@link #ORDER}. */
     private static ControllerSettings settings(Duration drainGrace) {
         return ControllerSettings.builder()
                 .cores(MAX_CONCURRENT_HANDLERS)
@@ -100,7 +101,7 @@
                 .clientTimeout(CLIENT_TIMEOUT);
     }
 
-    /** How many requests have no response yet. */
+    /** Returns the number of requests without a response. */
     int requestsInFlight() {
         return requestsInFlight;
     }
@@ -108,9 +109,9 @@
     /**
      * Submits a request.
      *
-     * @param orderId for an order, empty for a query
-     * @param handler handles it once it is admitted
-     * @param onRejected answers it if it is rejected, with the time after which the client may retry
+     * @param orderId id of an order, or empty for a query
+     * @param handler runs when the request is admitted
+     * @param onRejected called when the request is rejected, with the delay before a retry by the client
      */
     void submit(Duration at, Optional<String> orderId, Runnable handler, Consumer<Duration> onRejected) {
         now = at;
@@ -128,7 +129,7 @@
         request.handle = driver.register(handle, request);
     }
 
-    /** The time has come for which the controller had scheduled a wake-up. */
+    /** Runs the wake-up that the controller scheduled. */
     void wakeUp(Duration at) {
         now = at;
         decisionDue = true;
@@ -136,14 +137,14 @@
         driver.controller().updateGauges(at, new double[] {0});
     }
 
-    /** Begins to reject new requests, so that none is left when the agent stops. */
+    /** Starts a drain, after which no request is in flight when the agent stops. */
     void startDrain(Duration at, Duration stopAt) {
         now = at;
         decisionDue = true;
         driver.controller().startDrain(at, stopAt);
     }
 
-    /** Lets the controller decide, until its decisions cause nothing more to be decided. */
+    /** Runs the controller until no further decision is due. */
     void decide(Duration at) {
         while (decisionDue) {
             decisionDue = false;
@@ -169,7 +170,7 @@
 
     @Override
     public void shareOutcome(PendingRequest request) {
-        // The handler finds the order by its id and reports its progress.
+        // The handler looks up the order by its id and reports the progress.
         run(request);
     }
 
@@ -200,7 +201,7 @@
 
     @Override
     public void retain(PendingRequest request, Duration retention) {
-        // An order is found by its id from its arrival on.
+        // submit already registers each order by its id.
     }
 
     @Override
--- a/src/main/java/merlinlever/host/api/OrderRequest.java
+++ b/src/main/java/merlinlever/host/api/OrderRequest.java
@@ -10,11 +10,11 @@
 import merlinlever.host.state.OrderTracker;
 
 /**
- * An order as it is sent to the agent.
+ * Order as received by the agent.
  *
- * @param id under which the agent carries it out once
- * @param immediate whether instances that are to end are killed in place of drained
- * @param instances the indexes of the instances that it is for, each once
+ * @param id identifier of the order; the agent applies each order once per id
+ * @param immediate whether a drain or stop order kills the instances instead of draining them
+ * @param instances distinct indexes of the instances that the order applies to
  */
 record OrderRequest(String id, OrderTracker.OrderVerb verb, boolean immediate, List<Integer> instances) {
 
@@ -23,8 +23,8 @@
     /**
      * Parses the body of a request.
      *
-     * @param instanceNames the names of the agent's instances, in the order of their indexes
-     * @throws IllegalArgumentException if it is not an order to this agent; the message is for the operator
+     * @param instanceNames names of the instances of the agent, in the order of their indexes
+     * @throws IllegalArgumentException if the body is not a valid order for this agent; the message is for the operator
      */
     static OrderRequest parse(String body, List<String> instanceNames) {
         JsonNode node = parseJson(body);
@@ -32,13 +32,13 @@
         OrderTracker.OrderVerb verb =
                 WireNamed.parse(OrderTracker.OrderVerb.class, node.path("verb").asText());
         if (!id.matches("[0-9a-zA-Z-]{8,64}")) {
-            throw new IllegalArgumentException("an order's id has 8 to 64 letters, digits or -");
+            throw new IllegalArgumentException("the id of an order must consist of 8 to 64 letters, digits or hyphens");
         }
         Set<Integer> indexes = new LinkedHashSet<>();
         for (JsonNode name : node.path("names")) {
             int index = instanceNames.indexOf(name.asText());
             if (index < 0) {
-                throw new IllegalArgumentException("no instance " + name.asText() + " here");
+                throw new IllegalArgumentException("this agent has no instance " + name.asText());
             }
             indexes.add(index);
         }
@@ -49,7 +49,7 @@
         try {
             return JSON.readTree(body);
         } catch (JsonProcessingException e) {
-            throw new IllegalArgumentException("not JSON", e);
+            throw new IllegalArgumentException("the request body is not valid JSON", e);
         }
     }
 }
--- a/src/main/java/merlinlever/host/api/ReportRenderer.java
+++ b/src/main/java/merlinlever/host/api/ReportRenderer.java
@@ -17,10 +17,10 @@
 import merlinlever.host.state.InstanceSupervisor;
 import merlinlever.host.state.OrderTracker;
 
-/** Renders what the agent knows as the JSON documents of its API. */
+/** Renders the JSON documents of the agent API. */
 final class ReportRenderer {
 
-    /** The instances of an agent whose report is older are reported as unreached. */
+    /** Instances in an older report of another agent are reported as unreachable. */
     private static final Duration MAX_REPORT_AGE = Duration.ofMillis(2500);
 
     private static final ObjectMapper JSON = new ObjectMapper();
@@ -30,7 +30,7 @@
     private final Optional<RecoveryCoordinator> recovery;
     private final Supplier<Duration> clock;
 
-    /** @param clock the time since the start of the agent's clock */
+    /** @param clock returns the current time of the agent clock */
     ReportRenderer(String host, HostAgent agent, Optional<RecoveryCoordinator> recovery, Supplier<Duration> clock) {
         this.host = host;
         this.agent = agent;
@@ -38,7 +38,7 @@
         this.clock = clock;
     }
 
-    /** The instances of this agent. */
+    /** Returns the report on the instances of this agent. */
     ObjectNode instances() {
         ObjectNode report = JSON.createObjectNode().put("host", host);
         ArrayNode instances = report.putArray("instances");
@@ -70,15 +70,15 @@
         return node;
     }
 
-    /** Null, which JSON has for it, where there is none. */
+    /** Returns null, rendered as JSON null, for an empty duration. */
     private static Long millis(Optional<Duration> duration) {
         return duration.map(Duration::toMillis).orElse(null);
     }
 
     /**
-     * All known agents with their last reports, this one first.
+     * Returns the last reports of all known agents, starting with this agent.
      *
-     * @param apiAddress of this agent
+     * @param apiAddress API address of this agent
      */
     ObjectNode fleet(String apiAddress, List<PeerAgents.PeerAgent> peers) {
         ObjectNode report = JSON.createObjectNode();
@@ -104,7 +104,7 @@
         return node;
     }
 
-    /** The instance as its agent reported it, but with the age of the report, and unreached if that is too old. */
+    /** Adds the age of the report to the instance, and marks the instance as unreachable if the report is too old. */
     private static ObjectNode aged(ObjectNode instance, PeerAgents.PeerAgent peer, Duration age) {
         long ageMillis = age.toMillis();
         if (instance.path("heard_ms_ago").isNumber()) {
@@ -113,15 +113,16 @@
         if (ageMillis > MAX_REPORT_AGE.toMillis()) {
             instance.put(
                     "why",
-                    "its agent " + peer.member().name() + " ("
-                            + peer.member().status().wireName() + ") not reached for " + ageMillis
-                            + " ms; it was " + instance.path("state").asText() + " then");
+                    "agent " + peer.member().name() + " ("
+                            + peer.member().status().wireName() + ") has sent no report for " + ageMillis
+                            + " ms; the last reported state was "
+                            + instance.path("state").asText());
             instance.put("state", InstanceSupervisor.InstanceState.UNREACHABLE.wireName());
         }
         return instance;
     }
 
-    /** What has happened to the instances since the event with that number. */
+    /** Returns the instance events after the event with the given number. */
     ObjectNode events(long after) {
         ObjectNode report = JSON.createObjectNode()
                 .put("host", host)
@@ -135,7 +136,7 @@
         return report;
     }
 
-    /** An order with its progress. */
+    /** Returns an order with its progress. */
     ObjectNode order(OrderTracker.Order order) {
         ObjectNode report = JSON.createObjectNode()
                 .put("id", order.id())
--- a/src/main/java/merlinlever/host/api/package-info.java
+++ b/src/main/java/merlinlever/host/api/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The HTTP API of the host agent, for the {@code fleet} commands and for other agents. Requests pass through the overload
- * controller before they are handled. Everything runs on the thread of the event loop.
+ * HTTP API of the host agent for the {@code fleet} commands and for other agents. The overload controller admits or
+ * rejects each request. All code runs on the thread of the event loop.
  */
 package merlinlever.host.api;
--- a/src/main/java/merlinlever/host/disk/InstanceLedger.java
+++ b/src/main/java/merlinlever/host/disk/InstanceLedger.java
@@ -16,49 +16,49 @@
 import merlinlever.common.storage.StateDirectory;
 
 /**
- * The durable record of which instances are desired and which process each has. A launch is recorded before it is made,
- * with a token that the new process carries in its environment, so that an agent that dies in between leaves a process
- * that its successor finds. The file is replaced as a whole ({@link StateDirectory#replace}); its first line is the CRC-32C
- * of the rest, which is JSON. Not thread-safe.
+ * Durable ledger with the desired state and the process of each instance. The agent records each launch in advance,
+ * with a token that the new process carries in its environment. If the agent crashes before it records the pid, the
+ * next agent finds the process by the token. Each update replaces the whole file ({@link StateDirectory#replace}): the
+ * first line is the CRC-32C of the remaining content, which is JSON. Not thread-safe.
  */
 public final class InstanceLedger implements Closeable {
 
-    /** The name of the file in the state folder. */
+    /** Name of the ledger file in the state folder. */
     public static final String FILE_NAME = "instances";
 
     /**
-     * The record of one instance.
+     * Record of one instance.
      *
-     * @param desired whether it is meant to run
-     * @param token of its last launch, or empty
-     * @param pid 0 before the launch is known to have been made
-     * @param startTicks when the process began, in the kernel's clock ticks since boot: a reused pid has another value
+     * @param desired whether the desired state of the instance is running
+     * @param token token of the last launch, or empty
+     * @param pid process id, or 0 before the launch was confirmed
+     * @param startTicks start time of the process in kernel clock ticks since boot, which distinguishes reused pids
      */
     public record InstanceRecord(
             @JsonProperty("wanted") boolean desired,
             @JsonProperty("token") String token,
             @JsonProperty("pid") long pid,
             @JsonProperty("startTicks") long startTicks) {
-        /** The record of an instance that was never recorded. */
+        /** Default record of an instance without an entry in the ledger. */
         public static final InstanceRecord NONE = new InstanceRecord(false, "", 0, 0);
 
-        /** The record of a launch that is about to be made. */
+        /** Returns the record of a launch that has not been confirmed yet. */
         public static InstanceRecord launching(String token) {
             return new InstanceRecord(true, token, 0, 0);
         }
 
-        /** This record with another desired state. */
+        /** Returns a copy with the given desired state. */
         public InstanceRecord withDesired(boolean isDesired) {
             return new InstanceRecord(isDesired, token, pid, startTicks);
         }
 
-        /** This record with the process that is known now. */
+        /** Returns a copy with the given process. */
         public InstanceRecord withProcess(long processId, long processStartTicks) {
             return new InstanceRecord(desired, token, processId, processStartTicks);
         }
     }
 
-    /** The file in the folder is not one that an agent wrote; the message is for the operator. */
+    /** Thrown if the ledger file is invalid; the message is for the operator. */
     public static final class CorruptLedgerException extends Exception {
         private static final long serialVersionUID = 1;
 
@@ -77,12 +77,14 @@
     private final ObjectMapper json = new ObjectMapper();
     private final Map<String, InstanceRecord> records = new LinkedHashMap<>();
 
-    /** Opens the ledger of a folder on disk. */
+    /** Opens the ledger in a folder on disk. */
     public InstanceLedger(Path folder) throws IOException, CorruptLedgerException {
         this(StateDirectories.open(folder, Map.of()));
     }
 
-    /** Opens the ledger of a folder, which is closed with it, or at once if the ledger cannot be read. */
+    /**
+     * Opens the ledger in a folder. The folder is closed with the ledger, or immediately if the ledger cannot be read.
+     */
     public InstanceLedger(StateDirectory folder) throws IOException, CorruptLedgerException {
         this.folder = folder;
         try {
@@ -97,22 +99,22 @@
 
     private void parse(byte[] file) throws CorruptLedgerException {
         if (file.length > MAX_BYTES) {
-            throw new CorruptLedgerException(FILE_NAME + ": over " + MAX_BYTES + " octets");
+            throw new CorruptLedgerException(FILE_NAME + ": corrupt: longer than " + MAX_BYTES + " bytes");
         }
         String text = new String(file, StandardCharsets.ISO_8859_1);
         int firstLineEnd = text.indexOf('\n');
         byte[] body = text.substring(firstLineEnd + 1).getBytes(StandardCharsets.ISO_8859_1);
         if (firstLineEnd < 0 || !text.substring(0, firstLineEnd).equals(checksum(body))) {
-            throw new CorruptLedgerException(
-                    FILE_NAME + ": spoilt; running instances are found by their environment if the file is moved away, "
-                            + "but which are wanted has then to be said again");
+            throw new CorruptLedgerException(FILE_NAME
+                    + ": corrupt: the checksum does not match the content; without the file, the agent finds running "
+                    + "instances by their environment, but the instances to run must be ordered again");
         }
         try {
             for (Map.Entry<String, JsonNode> entry : json.readTree(body).properties()) {
                 records.put(entry.getKey(), parseRecord(entry.getValue()));
             }
         } catch (JsonProcessingException e) {
-            throw new CorruptLedgerException(FILE_NAME + ": is not what an agent writes", e);
+            throw new CorruptLedgerException(FILE_NAME + ": corrupt: the content is not valid JSON", e);
         } catch (IOException e) {
             throw new CorruptLedgerException(FILE_NAME + ": cannot be read: " + e.getMessage(), e);
         }
@@ -132,26 +134,28 @@
         return String.format("%08x", crc.getValue());
     }
 
-    /** The names of all instances that have a record. */
+    /** Returns the names of all recorded instances. */
     public List<String> names() {
         return List.copyOf(records.keySet());
     }
 
-    /** The record of the instance, {@link InstanceRecord#NONE} if it has none. */
+    /** Returns the record of the instance, or {@link InstanceRecord#NONE}. */
     public InstanceRecord recordOf(String instance) {
         return records.getOrDefault(instance, InstanceRecord.NONE);
     }
 
-    /** Replaces the record of the instance. Returns when it is on the disk; after a failure the old record stands. */
+    /**
+     * Replaces the record of the instance. Returns when the record is on disk; after a failure the old record is kept.
+     */
     public void update(String instance, InstanceRecord updated) throws IOException {
-        InstanceRecord before = records.put(instance, updated);
+        InstanceRecord previous = records.put(instance, updated);
         try {
             folder.replace(FILE_NAME, serialize());
         } catch (IOException e) {
-            if (before == null) {
+            if (previous == null) {
                 records.remove(instance);
             } else {
-                records.put(instance, before);
+                records.put(instance, previous);
             }
             throw e;
         }
--- a/src/main/java/merlinlever/host/disk/package-info.java
+++ b/src/main/java/merlinlever/host/disk/package-info.java
@@ -1,2 +1,4 @@
-/** The state of the host agent on disk: which instances are desired and which processes they have. Used on the loop thread. */
+/**
+ * State of the host agent on disk: the desired state and the process of each instance. Used on the loop thread only.
+ */
 package merlinlever.host.disk;
--- a/src/main/java/merlinlever/host/package-info.java
+++ b/src/main/java/merlinlever/host/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The agent of one machine: supervises the instances it is configured with, answers the {@code fleet} commands and
- * exchanges membership with the agents of other machines. {@code cli.fleet} starts it.
+ * Host agent of one machine: supervises the configured instances, serves the {@code fleet} commands and takes part in
+ * the membership protocol of the agents. {@code cli.fleet} starts the agent.
  */
 package merlinlever.host;
--- a/src/main/java/merlinlever/host/run/HostAgent.java
+++ b/src/main/java/merlinlever/host/run/HostAgent.java
@@ -279,7 +279,7 @@
                     return Optional.empty();
                 }
             }
-            String event = "order " + verb.wireName() + (immediate ? " (immediate)" : "") + ", id " + id;
+            String event = verb.wireName() + (immediate ? " (immediate)" : "") + " ordered, id " + id;
             indexes.forEach(index -> addEvent(instances.get(index), event));
         }
         return Optional.of(orders.accept(now(), id, verb, immediate, indexes));
