--- a/src/main/java/merlinlever/host/api/OrderRequest.java
+++ b/src/main/java/merlinlever/host/api/OrderRequest.java
@@ -38,7 +38,7 @@
         for (JsonNode name : node.path("names")) {
             int index = instanceNames.indexOf(name.asText());
             if (index < 0) {
-                throw new IllegalArgumentException("this agent has no instance " + name.asText());
+                throw new IllegalArgumentException("no instance " + name.asText() + " on this agent");
             }
             indexes.add(index);
         }
--- a/src/main/java/merlinlever/host/api/ReportRenderer.java
+++ b/src/main/java/merlinlever/host/api/ReportRenderer.java
@@ -115,8 +115,8 @@
                     "why",
                     "agent " + peer.member().name() + " ("
                             + peer.member().status().wireName() + ") has sent no report for " + ageMillis
-                            + " ms; the last reported state was "
-                            + instance.path("state").asText());
+                            + " ms (last reported state: "
+                            + instance.path("state").asText() + ")");
             instance.put("state", InstanceSupervisor.InstanceState.UNREACHABLE.wireName());
         }
         return instance;
