--- a/src/main/java/merlinlever/host/state/OrderTracker.java
+++ b/src/main/java/merlinlever/host/state/OrderTracker.java
@@ -84,6 +84,7 @@
             return id;
         }
 
+        /** Returns the kind of the order. */
         public OrderVerb verb() {
             return verb;
         }
