--- a/src/test/java/merlinlever/compatibility/FileBytesTest.java
+++ b/src/test/java/merlinlever/compatibility/FileBytesTest.java
@@ -69,9 +69,9 @@
         Files.write(folder.resolve("instances"), fixture.text("instances").getBytes(StandardCharsets.UTF_8));
         InstanceLedger.InstanceRecord instanceRecord = new InstanceLedger.InstanceRecord(true, "tok", 4711, 99);
         try (InstanceLedger ledger = new InstanceLedger(folder)) {
-            assertEquals(instanceRecord, ledger.of("web-1"));
-            ledger.note("web-1", InstanceLedger.InstanceRecord.NOTHING);
-            ledger.note("web-1", instanceRecord);
+            assertEquals(instanceRecord, ledger.recordOf("web-1"));
+            ledger.update("web-1", InstanceLedger.InstanceRecord.NONE);
+            ledger.update("web-1", instanceRecord);
         }
         fixture.assertMatches("instances", Files.readAllBytes(folder.resolve("instances")));
     }
