--- a/src/main/java/merlinlever/host/api/ApiRouter.java
+++ b/src/main/java/merlinlever/host/api/ApiRouter.java
@@ -68,7 +68,7 @@
             String id = request.path().substring(ORDER_PREFIX.length());
             admitQuery(response, () -> response.accept(orderProgress(id)));
         } else {
-            response.accept(ApiResponse.notFound("no resource at " + request.path()));
+            response.accept(ApiResponse.notFound("nothing is at " + request.path()));
         }
     }
 
@@ -82,8 +82,7 @@
     }
 
     private static ApiResponse rejected(Duration retryAfter) {
-        return ApiResponse.unavailable(
-                "request rejected because of overload or shutdown; nothing was changed", retryAfter);
+        return ApiResponse.unavailable("turned away, nothing was done", retryAfter);
     }
 
     private void handleFleet(Consumer<ApiResponse> response) {
@@ -98,14 +97,14 @@
             String apiAddress = address.getAddress().getHostAddress() + ":" + address.getPort();
             return ApiResponse.ok(reports.fleet(apiAddress, others));
         } catch (IOException e) {
-            return ApiResponse.internalError("the address of the API is unknown");
+            return ApiResponse.internalError("no address");
         }
     }
 
     private ApiResponse orderProgress(String id) {
         return agent.findOrder(id)
                 .map(order -> ApiResponse.ok(reports.order(order)))
-                .orElseGet(() -> ApiResponse.notFound("no order with this id"));
+                .orElseGet(() -> ApiResponse.notFound("no order of that id is known"));
     }
 
     private void handleOrder(String body, Consumer<ApiResponse> response) {
@@ -119,7 +118,7 @@
         }
         if (agent.mayInputBeStale() && agent.findOrder(order.id()).isEmpty()) {
             response.accept(ApiResponse.unavailable(
-                    "the agent was paused and the order may be outdated; nothing was changed, send the order again",
+                    "this agent was held up, and the order may be an old one; nothing was done, send it again",
                     ORDER_RETRY_AFTER));
             return;
         }
@@ -137,7 +136,7 @@
         Optional<OrderTracker.Order> accepted =
                 agent.accept(request.id(), request.verb(), request.immediate(), request.instances());
         return accepted.map(order -> ApiResponse.ok(reports.order(order)))
-                .orElseGet(() -> ApiResponse.insufficientStorage(
-                        "the agent cannot write its state; the order was not accepted"));
+                .orElseGet(() ->
+                        ApiResponse.insufficientStorage("the agent cannot write its state; the order was not taken"));
     }
 }
--- a/src/main/java/merlinlever/host/api/ClientConnection.java
+++ b/src/main/java/merlinlever/host/api/ClientConnection.java
@@ -81,9 +81,9 @@
     private void receive(HttpMessage message) {
         Optional<ApiRequest> request = message.request();
         if (request.isEmpty()) {
-            send(ApiResponse.badRequest("the request line is not valid HTTP"));
+            send(ApiResponse.badRequest("not HTTP"));
         } else if (!isAuthenticated(message)) {
-            send(ApiResponse.unauthorized("the shared secret is missing or wrong"));
+            send(ApiResponse.unauthorized("the secret is missing or another"));
         } else {
             listener.onRequest(request.get(), this);
         }
--- a/src/main/java/merlinlever/host/api/OrderRequest.java
+++ b/src/main/java/merlinlever/host/api/OrderRequest.java
@@ -32,13 +32,13 @@
         OrderTracker.OrderVerb verb =
                 WireNamed.parse(OrderTracker.OrderVerb.class, node.path("verb").asText());
         if (!id.matches("[0-9a-zA-Z-]{8,64}")) {
-            throw new IllegalArgumentException("the id of an order must consist of 8 to 64 letters, digits or hyphens");
+            throw new IllegalArgumentException("an order's id has 8 to 64 letters, digits or -");
         }
         Set<Integer> indexes = new LinkedHashSet<>();
         for (JsonNode name : node.path("names")) {
             int index = instanceNames.indexOf(name.asText());
             if (index < 0) {
-                throw new IllegalArgumentException("no instance " + name.asText() + " on this agent");
+                throw new IllegalArgumentException("no instance " + name.asText() + " here");
             }
             indexes.add(index);
         }
@@ -49,7 +49,7 @@
         try {
             return JSON.readTree(body);
         } catch (JsonProcessingException e) {
-            throw new IllegalArgumentException("the request body is not valid JSON", e);
+            throw new IllegalArgumentException("not JSON", e);
         }
     }
 }
--- a/src/main/java/merlinlever/host/api/ReportRenderer.java
+++ b/src/main/java/merlinlever/host/api/ReportRenderer.java
@@ -113,10 +113,10 @@
         if (ageMillis > MAX_REPORT_AGE.toMillis()) {
             instance.put(
                     "why",
-                    "agent " + peer.member().name() + " ("
-                            + peer.member().status().wireName() + ") has sent no report for " + ageMillis
-                            + " ms (last reported state: "
-                            + instance.path("state").asText() + ")");
+                    "its agent " + peer.member().name() + " ("
+                            + peer.member().status().wireName() + ") not reached for " + ageMillis
+                            + " ms; it was "
+                            + instance.path("state").asText() + " then");
             instance.put("state", InstanceSupervisor.InstanceState.UNREACHABLE.wireName());
         }
         return instance;
--- a/src/main/java/merlinlever/host/run/HostAgent.java
+++ b/src/main/java/merlinlever/host/run/HostAgent.java
@@ -112,7 +112,7 @@
         instance.setProcess(Optional.of(process));
         InstanceSupervisor supervisor = instance.supervisor();
         supervisor.processStarted(now());
-        addEvent(instance, "adopted, pid " + process.pid());
+        addEvent(instance, "taken over, pid " + process.pid());
         if (recorded.desired()) {
             supervisor.start(now());
         } else {
@@ -166,7 +166,7 @@
         switch (instance.supervisor().nextAction(now())) {
             case LAUNCH -> launch(instance);
             case DRAIN -> {
-                addEvent(instance, "drain requested");
+                addEvent(instance, "told to leave");
                 instance.process().ifPresent(OsProcesses::terminate);
             }
             case KILL -> {
@@ -180,8 +180,8 @@
 
     private void processEnded(HostedInstance instance, ProcessIdentity process) {
         instance.setProcess(Optional.empty());
-        addEvent(instance, "exited, pid " + process.pid());
-        instance.supervisor().processEnded(now(), "process " + process.pid() + " exited");
+        addEvent(instance, "ended, pid " + process.pid());
+        instance.supervisor().processEnded(now(), "its process " + process.pid() + " ended");
     }
 
     private void recordStateChange(HostedInstance instance) {
@@ -216,7 +216,7 @@
             updateRecord(instance, record -> record.withProcess(process.pid(), process.startTicks()));
         } catch (IOException e) {
             supervisor.launchFailed(now(), e.getMessage());
-            addEvent(instance, "launch failed: " + e.getMessage());
+            addEvent(instance, "cannot be launched: " + e.getMessage());
         }
     }
 
@@ -279,7 +279,7 @@
                     return Optional.empty();
                 }
             }
-            String event = verb.wireName() + (immediate ? " (immediate)" : "") + " ordered, id " + id;
+            String event = verb.wireName() + (immediate ? " at once" : "") + " ordered, " + id;
             indexes.forEach(index -> addEvent(instances.get(index), event));
         }
         return Optional.of(orders.accept(now(), id, verb, immediate, indexes));
--- a/src/main/java/merlinlever/host/state/InstanceSupervisor.java
+++ b/src/main/java/merlinlever/host/state/InstanceSupervisor.java
@@ -308,18 +308,18 @@
     public String reason(Duration now) {
         return switch (state(now)) {
             case DOWN -> downReason(now);
-            case GIVEN_UP -> "crashed " + recentCrashes.size() + " times, last: " + lastEnd + "; start it manually";
+            case GIVEN_UP -> "died " + recentCrashes.size() + " times, last: " + lastEnd + "; start it by hand";
             case UNREACHABLE -> lastStatusAt == null
-                    ? "no status report since the launch"
+                    ? "has not answered since it was launched"
                     : String.format(
                             Locale.ROOT,
-                            "no status report for %d ms",
+                            "not reached for %d ms",
                             now.minus(lastStatusAt).toMillis());
             case DRAINING -> lastStatus == null
-                    ? "draining"
-                    : lastStatus.inFlight() + " requests in flight at the last status report";
-            case SLOW -> "its capacity is far below the capacity of its peers";
-            case HUNG -> "its executions make no progress";
+                    ? "leaving"
+                    : lastStatus.inFlight() + " operations to be answered when last heard";
+            case SLOW -> "its capacity is far under that of its peers";
+            case HUNG -> "no run gets on";
             case UNMONITORED, STARTING, COLD, WARM -> "";
         };
     }
@@ -327,9 +327,9 @@
     private String downReason(Duration now) {
         if (desiredState == DesiredState.RUNNING) {
             long millisToLaunch = Math.max(0, nextLaunchAt.minus(now).toMillis());
-            return String.format(Locale.ROOT, "%s; next launch in %d ms", lastEnd, millisToLaunch);
+            return String.format(Locale.ROOT, "%s; launched again in %d ms", lastEnd, millisToLaunch);
         }
-        return lastEnd.isEmpty() ? "stopped" : "stopped; " + lastEnd;
+        return lastEnd.isEmpty() ? "not wanted" : "not wanted; " + lastEnd;
     }
 
     /** Returns whether the desired state of the instance is running. */
