--- a/src/main/java/merlinlever/dns/client/UpdateMessages.java
+++ b/src/main/java/merlinlever/dns/client/UpdateMessages.java
@@ -18,7 +18,7 @@
     public static byte[] message(
             byte[] zone, List<UpdateEntry> prerequisites, List<UpdateEntry> changes, Tsig.TsigKey key) {
         MessageWriter out =
-                new MessageWriter(0, Opcode.UPDATE.flags(), DnsMessage.MAX_BYTES - (key == null ? 0 : Tsig.room(key)));
+                new MessageWriter(0, Opcode.UPDATE.flags(), DnsMessage.MAX_BYTES - (key == null ? 0 : Tsig.maxSignatureBytes(key)));
         out.question(zone, RecordTypes.SOA, RecordTypes.IN);
         for (UpdateEntry entry : prerequisites) {
             if (!out.record(
--- a/src/main/java/merlinlever/dns/follow/Follower.java
+++ b/src/main/java/merlinlever/dns/follow/Follower.java
@@ -181,7 +181,7 @@
         this.stated = stated;
         this.chance = chance;
         this.log = log;
-        claimName = DomainNames.below(LABEL, stated.name);
+        claimName = DomainNames.prependLabel(LABEL, stated.name);
         if (claimName == null) {
             throw new IllegalArgumentException("the name is too long to stand below _merlinlever");
         }
--- a/src/main/java/merlinlever/dns/record/DomainNames.java
+++ b/src/main/java/merlinlever/dns/record/DomainNames.java
@@ -103,7 +103,7 @@
     }
 
     /** The name of the label directly below a name, or null if that is too long. */
-    public static byte[] below(byte[] label, byte[] name) {
+    public static byte[] prependLabel(byte[] label, byte[] name) {
         if (label.length + 1 + name.length > MAX_BYTES) {
             return null;
         }
@@ -166,7 +166,7 @@
     }
 
     /** The length, in octets, of the whole labels that two keys have in common. */
-    public static int shared(byte[] a, byte[] b) {
+    public static int commonLabelBytes(byte[] a, byte[] b) {
         int end = Arrays.mismatch(a, b);
         end = end < 0 ? a.length : end;
         while (end > 0 && a[end - 1] != 0) {
--- a/src/main/java/merlinlever/dns/server/ResponseBuilder.java
+++ b/src/main/java/merlinlever/dns/server/ResponseBuilder.java
@@ -96,7 +96,7 @@
 
     private static int maxLength(Tsig.Verification verification) {
         return DnsMessage.MAX_BYTES
-                - (verification == null || verification.key() == null ? 0 : Tsig.room(verification.key()));
+                - (verification == null || verification.key() == null ? 0 : Tsig.maxSignatureBytes(verification.key()));
     }
 
     private static MessageWriter head(DnsMessage request, int code, int maxBytes, int extended, byte[] options) {
@@ -138,7 +138,7 @@
                     : request.edns().payload();
             maxBytes = Math.max(DnsMessage.MAX_PLAIN_DATAGRAM_BYTES, Math.min(theirs, MAX_DATAGRAM_BYTES));
         }
-        maxBytes -= verification == null ? 0 : Tsig.room(verification.key());
+        maxBytes -= verification == null ? 0 : Tsig.maxSignatureBytes(verification.key());
         MessageWriter out = new MessageWriter(
                 request.id(),
                 DnsMessage.RESPONSE
--- a/src/main/java/merlinlever/dns/server/ZoneTransfer.java
+++ b/src/main/java/merlinlever/dns/server/ZoneTransfer.java
@@ -39,7 +39,7 @@
         this.unix = unix;
         this.records = records;
         chain = verification == null ? null : new Tsig.SignatureChain(verification.key(), verification.mac());
-        signatureRoom = verification == null ? 0 : Tsig.room(verification.key());
+        signatureRoom = verification == null ? 0 : Tsig.maxSignatureBytes(verification.key());
         next = records.next();
     }
 
--- a/src/main/java/merlinlever/dns/state/Lookup.java
+++ b/src/main/java/merlinlever/dns/state/Lookup.java
@@ -89,8 +89,8 @@
         }
         CopyOnWriteBTree.Entry<OwnerRecords> before = zone.names().floor(key);
         int closest = Math.max(
-                before == null ? 0 : DomainNames.shared(before.key(), key),
-                after == null ? 0 : DomainNames.shared(after.key(), key));
+                before == null ? 0 : DomainNames.commonLabelBytes(before.key(), key),
+                after == null ? 0 : DomainNames.commonLabelBytes(after.key(), key));
         byte[] star = Arrays.copyOf(key, closest + STAR.length);
         System.arraycopy(STAR, 0, star, closest, STAR.length);
         OwnerRecords wildcard = zone.names().get(star);
--- a/src/main/java/merlinlever/dns/wire/Tsig.java
+++ b/src/main/java/merlinlever/dns/wire/Tsig.java
@@ -302,7 +302,7 @@
     }
 
     /** Octets that a signature of the key adds at most. */
-    public static int room(TsigKey key) {
+    public static int maxSignatureBytes(TsigKey key) {
         return key.name.length
                 + DnsMessage.RECORD_FIXED_BYTES
                 + key.algorithm.length
