--- a/src/main/java/merlinlever/dns/client/UpdateMessages.java
+++ b/src/main/java/merlinlever/dns/client/UpdateMessages.java
@@ -17,8 +17,8 @@
     /** Without id and signature; null where it does not fit one message with a signature of the key. */
     public static byte[] message(
             byte[] zone, List<UpdateEntry> prerequisites, List<UpdateEntry> changes, Tsig.TsigKey key) {
-        MessageWriter out =
-                new MessageWriter(0, Opcode.UPDATE.flags(), DnsMessage.MAX_BYTES - (key == null ? 0 : Tsig.maxSignatureBytes(key)));
+        MessageWriter out = new MessageWriter(
+                0, Opcode.UPDATE.flags(), DnsMessage.MAX_BYTES - (key == null ? 0 : Tsig.maxSignatureBytes(key)));
         out.question(zone, RecordTypes.SOA, RecordTypes.IN);
         for (UpdateEntry entry : prerequisites) {
             if (!out.record(
--- a/src/main/java/merlinlever/dns/server/ResponseBuilder.java
+++ b/src/main/java/merlinlever/dns/server/ResponseBuilder.java
@@ -135,7 +135,7 @@
         if (datagram) {
             int theirs = request.edns() == null
                     ? DnsMessage.MAX_PLAIN_DATAGRAM_BYTES
-                    : request.edns().payload();
+                    : request.edns().maxDatagramBytes();
             maxBytes = Math.max(DnsMessage.MAX_PLAIN_DATAGRAM_BYTES, Math.min(theirs, MAX_DATAGRAM_BYTES));
         }
         maxBytes -= verification == null ? 0 : Tsig.maxSignatureBytes(verification.key());
@@ -153,7 +153,7 @@
                 && section(out, MessageSection.AUTHORITY, answer.authority, maxBytes - reserved, request.id());
         if (!whole) {
             out.truncateToQuestion(questionEnd);
-            out.flag(DnsMessage.TRUNCATED);
+            out.setFlag(DnsMessage.TRUNCATED);
         } else {
             // What does not fit here is only a help.
             section(out, MessageSection.ADDITIONAL, answer.additional, maxBytes - reserved, request.id());
--- a/src/main/java/merlinlever/dns/wire/DnsMessage.java
+++ b/src/main/java/merlinlever/dns/wire/DnsMessage.java
@@ -12,32 +12,32 @@
 import merlinlever.dns.state.UpdateEntry;
 
 /**
- * A DNS message that was parsed whole (RFC 1035 section 4, EDNS of RFC 6891). It has at most one question; its records are
- * uncompressed.
+ * A fully parsed DNS message (RFC 1035 section 4, with EDNS as in RFC 6891). Has at most one question; the names in its
+ * records are uncompressed.
  */
 public final class DnsMessage {
 
-    /** The header flag QR: a response. */
+    /** Header flag QR: the message is a response. */
     public static final int RESPONSE = 0x8000;
-    /** The header flag AA: an authoritative answer. */
+    /** Header flag AA: the answer is authoritative. */
     public static final int AUTHORITATIVE = 0x0400;
-    /** The header flag TC: truncated. */
+    /** Header flag TC: the message is truncated. */
     public static final int TRUNCATED = 0x0200;
-    /** The header flag RD: recursion desired. */
+    /** Header flag RD: the client desires recursion. */
     public static final int RECURSION_DESIRED = 0x0100;
 
-    /** Octets of a message. */
+    /** Maximum size of a message in octets. */
     public static final int MAX_BYTES = 65_535;
-    /** Octets of a datagram without EDNS (RFC 1035 section 4.2.1). */
+    /** Maximum size in octets of a datagram without EDNS (RFC 1035 section 4.2.1). */
     public static final int MAX_PLAIN_DATAGRAM_BYTES = 512;
-    /** Octets of the header. */
+    /** Size of the header in octets. */
     public static final int HEADER_BYTES = 12;
-    /** Octets of a record beside its owner and data: type, class, time to live, length of the data. */
+    /** Size in octets of the fixed fields of a record: type, class, time to live and length of the data. */
     public static final int RECORD_FIXED_BYTES = 3 * Short.BYTES + Integer.BYTES;
 
     static final int FLAGS_OFFSET = 2;
     static final int COUNTS_OFFSET = 4;
-    /** Octets of a question beside its name: type and class. */
+    /** Size in octets of the fixed fields of a question: type and class. */
     static final int QUESTION_FIXED_BYTES = 2 * Short.BYTES;
 
     private static final int RESPONSE_CODE_MASK = 0xf;
@@ -46,24 +46,32 @@
     private static final int EDNS_DNSSEC_OK = 0x8000;
 
     /**
-     * EDNS as the sender stated it (RFC 6891 section 6.1).
+     * The EDNS fields of a message (RFC 6891 section 6.1).
      *
-     * @param payload octets of a datagram that it takes
-     * @param dnssec whether it takes DNSSEC records
+     * @param maxDatagramBytes the largest datagram that the sender accepts, in octets
+     * @param dnssecOk whether the sender accepts DNSSEC records
      */
-    public record Edns(int payload, int version, boolean dnssec) {}
+    public record Edns(int maxDatagramBytes, int version, boolean dnssecOk) {}
 
     /**
      * A TSIG record (RFC 8945 section 4.2).
      *
-     * @param at its offset in the message
-     * @param key name of the key
-     * @param time when it was signed, in Unix seconds
-     * @param fudge seconds by which clocks may differ
-     * @param id of the message when it was signed
+     * @param offset the offset of the record in the message
+     * @param keyName the name of the key on the wire
+     * @param time the time of signing, in Unix seconds
+     * @param fudge the permitted clock difference, in seconds
+     * @param originalId the id of the message at the time of signing
      */
     public record Signature(
-            int at, byte[] key, byte[] algorithm, long time, int fudge, byte[] mac, int id, int error, byte[] other) {}
+            int offset,
+            byte[] keyName,
+            byte[] algorithm,
+            long time,
+            int fudge,
+            byte[] mac,
+            int originalId,
+            int error,
+            byte[] otherData) {}
 
     private final byte[] octets;
     private int id;
@@ -83,17 +91,17 @@
         this.octets = octets;
     }
 
-    /** The id of what may be no message otherwise; -1 where it is shorter than a header. */
+    /** Returns the message id, or -1 if the octets are shorter than a header; the rest may be malformed. */
     public static int id(byte[] octets) {
         return octets.length < HEADER_BYTES ? -1 : Octets.u16(octets, 0);
     }
 
-    /** The header flags of what has a header. */
+    /** Returns the header flags. The octets contain at least a header; the rest of the message may be malformed. */
     public static int flags(byte[] octets) {
         return Octets.u16(octets, FLAGS_OFFSET);
     }
 
-    /** Parses a whole message; signatures are parsed and not verified. */
+    /** Parses a whole message. A signature is parsed but not verified. */
     public static DnsMessage read(byte[] octets) throws MalformedDnsException {
         DnsMessage message = new DnsMessage(octets);
         message.parse();
@@ -114,7 +122,7 @@
 
     private void parse() throws MalformedDnsException {
         if (octets.length < HEADER_BYTES || octets.length > MAX_BYTES) {
-            throw new MalformedDnsException("a message of " + octets.length + " octets");
+            throw new MalformedDnsException("message size of " + octets.length + " octets is out of range");
         }
         id = id(octets);
         flags = flags(octets);
@@ -124,14 +132,14 @@
         parseSection(MessageSection.AUTHORITY, authority);
         parseSection(MessageSection.ADDITIONAL, additional);
         if (position != octets.length) {
-            throw new MalformedDnsException("octets behind the message");
+            throw new MalformedDnsException("message has trailing octets");
         }
     }
 
     private void parseQuestion() throws MalformedDnsException {
         questions = Octets.u16(octets, MessageSection.QUESTION.countOffset());
         if (questions > 1) {
-            throw new MalformedDnsException(questions + " questions");
+            throw new MalformedDnsException("message has " + questions + " questions; at most one is supported");
         }
         if (questions == 1) {
             name = nextName();
@@ -145,7 +153,7 @@
         int count = Octets.u16(octets, section.countOffset());
         for (int i = 0; i < count; i++) {
             if (signature != null) {
-                throw new MalformedDnsException("a record behind the signature");
+                throw new MalformedDnsException("TSIG record is followed by another record");
             }
             boolean isLast = section == MessageSection.ADDITIONAL && i == count - 1;
             parseRecord(section, entries, isLast);
@@ -154,7 +162,7 @@
 
     private void requireAvailable(int count) throws MalformedDnsException {
         if (position + count > octets.length) {
-            throw new MalformedDnsException("the message is cut short");
+            throw new MalformedDnsException("message is truncated");
         }
     }
 
@@ -179,39 +187,39 @@
             parseEdns(owner, recordClass, ttl);
         } else if (recordType == RecordTypes.TSIG) {
             if (!isLast || recordClass != RecordTypes.CLASS_ANY || ttl != 0) {
-                throw new MalformedDnsException("a signature that is not the last record");
+                throw new MalformedDnsException("TSIG record is not last, or has a wrong class or time to live");
             }
             parseSignature(start, owner, end);
         } else {
             boolean isEmpty = length == 0 && recordClass != RecordTypes.IN;
             byte[] data = isEmpty ? null : Rdata.fromWire(recordType, octets, position, length);
-            // RFC 2181 section 8: a time to live with the top bit set counts as 0.
+            // RFC 2181 section 8: a time to live with the top bit set is treated as 0.
             long effectiveTtl = ttl > ResourceRecord.MAX_TTL_SECONDS ? 0 : ttl;
             entries.add(new UpdateEntry(owner, recordType, recordClass, effectiveTtl, data));
         }
         position = end;
     }
 
-    /** RFC 6891 section 6.1: the class is the size of datagrams, the time to live holds version and flags. */
+    /** Parses an OPT record: its class is the datagram size, its time to live holds version and flags (RFC 6891). */
     private void parseEdns(byte[] owner, int recordClass, long ttl) throws MalformedDnsException {
         if (edns != null || owner.length != 1) {
-            throw new MalformedDnsException("EDNS twice, or under a name");
+            throw new MalformedDnsException("OPT record is repeated, or its owner is not the root");
         }
         int version = (int) (ttl >> EDNS_VERSION_SHIFT & EDNS_VERSION_MASK);
         edns = new Edns(recordClass, version, (ttl & EDNS_DNSSEC_OK) != 0);
     }
 
-    private void parseSignature(int start, byte[] key, int end) throws MalformedDnsException {
+    private void parseSignature(int start, byte[] keyName, int end) throws MalformedDnsException {
         CompressedNames.DecodedName algorithm = CompressedNames.read(octets, position, end);
         position = algorithm.end();
         if (position + Tsig.FIXED_BYTES > end) {
-            throw new MalformedDnsException("a signature is cut short");
+            throw new MalformedDnsException("TSIG record is truncated");
         }
         long time = (long) next16() << Integer.SIZE | next32();
         int fudge = next16();
         int macLength = next16();
         if (position - Tsig.BYTES_BEFORE_MAC + Tsig.FIXED_BYTES + macLength > end) {
-            throw new MalformedDnsException("a signature is cut short");
+            throw new MalformedDnsException("TSIG record is truncated");
         }
         byte[] mac = Arrays.copyOfRange(octets, position, position + macLength);
         position += macLength;
@@ -219,88 +227,88 @@
         int error = next16();
         int otherLength = next16();
         if (position + otherLength != end) {
-            throw new MalformedDnsException("a signature of a wrong length");
+            throw new MalformedDnsException("length of the other data in the TSIG record is wrong");
         }
-        byte[] other = Arrays.copyOfRange(octets, position, end);
-        signature = new Signature(start, key, algorithm.wire(), time, fudge, mac, originalId, error, other);
+        byte[] otherData = Arrays.copyOfRange(octets, position, end);
+        signature = new Signature(start, keyName, algorithm.wire(), time, fudge, mac, originalId, error, otherData);
     }
 
-    /** The message as it was read. */
+    /** Returns the octets that the message was parsed from. */
     public byte[] octets() {
         return octets;
     }
 
-    /** The id, which a response repeats. */
+    /** Returns the message id, which a response repeats. */
     public int id() {
         return id;
     }
 
-    /** The header flags, with opcode and response code. */
+    /** Returns the header flags, including the opcode and the response code. */
     public int flags() {
         return flags;
     }
 
-    /** Whether it is a response. */
+    /** Whether the message is a response. */
     public boolean isResponse() {
         return (flags & RESPONSE) != 0;
     }
 
-    /** Whether it was cut to fit a datagram. */
+    /** Whether the sender truncated the message to fit a datagram. */
     public boolean isTruncated() {
         return (flags & TRUNCATED) != 0;
     }
 
-    /** What kind of message it is. */
+    /** Returns the kind of message. */
     public Opcode opcode() {
         return Opcode.ofFlags(flags);
     }
 
-    /** The response code without what EDNS adds to it. */
+    /** Returns the response code of the header, without the upper bits that EDNS adds. */
     public int code() {
         return flags & RESPONSE_CODE_MASK;
     }
 
-    /** Whether it has a question, or in an update a zone. */
+    /** Whether the message has a question (in an update, a zone). */
     public boolean hasQuestion() {
         return questions == 1;
     }
 
-    /** The name asked for, or the zone of an update; in lower case. Null without a question. */
+    /** Returns the queried name (in an update, the zone) in lower case, or null without a question. */
     public byte[] name() {
         return name;
     }
 
-    /** The type asked for. */
+    /** Returns the queried type. */
     public int type() {
         return type;
     }
 
-    /** The class asked for. */
+    /** Returns the queried class. */
     public int dclass() {
         return dclass;
     }
 
-    /** The answers, or an update's prerequisites. */
+    /** Returns the answer section (in an update, the prerequisites). */
     public List<UpdateEntry> answers() {
         return answers;
     }
 
-    /** The authority section, or an update's changes. */
+    /** Returns the authority section (in an update, the changes). */
     public List<UpdateEntry> authority() {
         return authority;
     }
 
-    /** The additional section without EDNS and signature. */
+    /** Returns the additional section without its OPT and TSIG records. */
     public List<UpdateEntry> additional() {
         return additional;
     }
 
-    /** Null where it has none. */
+    /** Returns the EDNS fields, or null without an OPT record. */
     public Edns edns() {
         return edns;
     }
 
-    /** Null where it has none. */
+    /** Returns the TSIG record, or null if the message is unsigned. */
     public Signature signature() {
         return signature;
     }
--- a/src/main/java/merlinlever/dns/wire/MessageSection.java
+++ b/src/main/java/merlinlever/dns/wire/MessageSection.java
@@ -1,6 +1,6 @@
 package merlinlever.dns.wire;
 
-/** Sections of a message, in their order (RFC 1035 section 4.1). */
+/** Sections of a message in wire order (RFC 1035 section 4.1). */
 public enum MessageSection {
     /** In an update, the zone (RFC 2136 section 2). */
     QUESTION,
@@ -10,7 +10,7 @@
     AUTHORITY,
     ADDITIONAL;
 
-    /** The offset in the header of the number of records in the section. */
+    /** Returns the header offset of the field that counts the records of the section. */
     int countOffset() {
         return DnsMessage.COUNTS_OFFSET + Short.BYTES * ordinal();
     }
--- a/src/main/java/merlinlever/dns/wire/MessageWriter.java
+++ b/src/main/java/merlinlever/dns/wire/MessageWriter.java
@@ -5,10 +5,10 @@
 import merlinlever.dns.record.Octets;
 import merlinlever.dns.record.RecordTypes;
 
-/** Writes one message up to a size, with owner names compressed against those already in it (RFC 1035 section 4.1.4). */
+/** Writes one message of limited size and compresses its owner names (RFC 1035 section 4.1.4). */
 public final class MessageWriter {
 
-    /** Names that can be pointed to; more cost more to compare than they save. */
+    /** Maximum number of names kept as compression targets; bounds the time for comparing names. */
     private static final int MAX_COMPRESSION_TARGETS = 48;
 
     private static final int INITIAL_BYTES = 512;
@@ -17,7 +17,7 @@
     private static final int MAX_POINTER_OFFSET = 0x3fff;
     private static final int POINTER_BYTES = 2;
     private static final int MAX_RECORDS = 0xffff;
-    /** The extended response code's upper eight bits lie above these in the OPT record (RFC 6891 section 6.1.3). */
+    /** Bits of the response code in the header; the OPT record holds the upper eight bits (RFC 6891 section 6.1.3). */
     private static final int RESPONSE_CODE_BITS = 4;
 
     private static final int EXTENDED_CODE_SHIFT = 24;
@@ -25,13 +25,13 @@
     private byte[] out;
     private int position;
     private final int maxBytes;
-    /** Offsets of names and of their ends that can be pointed to. */
+    /** Offsets of the names and name suffixes that compression pointers can refer to. */
     private final int[] targets = new int[MAX_COMPRESSION_TARGETS];
 
     private int targetCount;
     private final int[] counts = new int[MessageSection.values().length];
 
-    /** @param maxBytes 12 to 65,535 */
+    /** @param maxBytes the maximum size of the message, 12 to 65,535 octets */
     public MessageWriter(int id, int flags, int maxBytes) {
         this.maxBytes = maxBytes;
         out = new byte[Math.min(maxBytes, INITIAL_BYTES)];
@@ -40,7 +40,7 @@
         Octets.put16(out, DnsMessage.FLAGS_OFFSET, flags);
     }
 
-    /** Octets written. */
+    /** Returns the number of octets written. */
     public int length() {
         return position;
     }
@@ -65,7 +65,7 @@
         position += Integer.BYTES;
     }
 
-    /** Appends the question, or an update's zone. */
+    /** Appends the question (in an update, the zone). */
     public MessageWriter question(byte[] name, int type, int dclass) {
         ensureRoom(name.length + DnsMessage.QUESTION_FIXED_BYTES);
         appendName(name);
@@ -92,7 +92,7 @@
         out[position++] = 0;
     }
 
-    /** Whether the rest of the name is the name at an offset of the message. */
+    /** Whether the name from {@code nameOffset} on equals the message's name at {@code messageOffset}. */
     private boolean isSameName(byte[] name, int nameOffset, int messageOffset) {
         int from = nameOffset;
         int at = messageOffset;
@@ -117,15 +117,15 @@
      * Appends one record.
      *
      * @param ttl seconds
-     * @param data null for none
-     * @return whether there was room for it; if not, nothing was written
+     * @param data the record data, or null for a record without data
+     * @return whether the record fit; otherwise the message is unchanged
      */
     public boolean record(MessageSection section, byte[] owner, int type, int dclass, long ttl, byte[] data) {
         int length = data == null ? 0 : data.length;
         int start = position;
         int targetsBefore = targetCount;
         int bytes = DnsMessage.RECORD_FIXED_BYTES + length;
-        // The owner may be compressed to a pointer.
+        // The owner name takes only a pointer if it can be compressed.
         if (!ensureRoom(owner.length + bytes) && !ensureRoom(Math.min(owner.length, POINTER_BYTES) + bytes)) {
             return false;
         }
@@ -153,22 +153,27 @@
     /**
      * Appends the OPT record of EDNS (RFC 6891 section 6.1).
      *
-     * @param payload octets of a datagram that this side takes
-     * @param code the extended response code, of which the upper part is written here
-     * @param options null for none
+     * @param maxDatagramBytes the largest datagram that this server accepts, in octets
+     * @param code the extended response code; only its upper bits are written to the OPT record
+     * @param options the encoded options, or null for none
+     * @return whether the record fit; otherwise the message is unchanged
      */
-    public boolean edns(int payload, int code, byte[] options) {
+    public boolean edns(int maxDatagramBytes, int code, byte[] options) {
         long ttl = (long) (code >> RESPONSE_CODE_BITS) << EXTENDED_CODE_SHIFT;
         byte[] data = options == null ? new byte[0] : options;
-        return record(MessageSection.ADDITIONAL, DomainNames.ROOT, RecordTypes.OPT, payload, ttl, data);
+        return record(MessageSection.ADDITIONAL, DomainNames.ROOT, RecordTypes.OPT, maxDatagramBytes, ttl, data);
     }
 
-    /** Records in the section. */
+    /** Returns the number of records in the section. */
     public int count(MessageSection section) {
         return counts[section.ordinal()];
     }
 
-    /** Removes all records. */
+    /**
+     * Removes all records and keeps the question.
+     *
+     * @param questionEnd the offset of the end of the question
+     */
     public void truncateToQuestion(int questionEnd) {
         position = questionEnd;
         Arrays.fill(counts, MessageSection.ANSWER.ordinal(), counts.length, 0);
@@ -178,11 +183,11 @@
     }
 
     /** Sets a header flag. */
-    public void flag(int flag) {
+    public void setFlag(int flag) {
         Octets.put16(out, DnsMessage.FLAGS_OFFSET, Octets.u16(out, DnsMessage.FLAGS_OFFSET) | flag);
     }
 
-    /** The message. */
+    /** Returns a copy of the message. */
     public byte[] toBytes() {
         for (MessageSection section : MessageSection.values()) {
             Octets.put16(out, section.countOffset(), counts[section.ordinal()]);
--- a/src/main/java/merlinlever/dns/wire/Opcode.java
+++ b/src/main/java/merlinlever/dns/wire/Opcode.java
@@ -7,7 +7,7 @@
     NOTIFY(4),
     /** RFC 2136. */
     UPDATE(5),
-    /** Any other, which this program does not implement. */
+    /** An opcode that this program does not implement. */
     OTHER(-1);
 
     /** The bits of the header flags that hold the opcode. */
@@ -31,7 +31,7 @@
         return OTHER;
     }
 
-    /** The opcode as bits of the header flags. */
+    /** Returns the opcode as bits of the header flags. */
     public int flags() {
         return code << SHIFT;
     }
--- a/src/main/java/merlinlever/dns/wire/Tsig.java
+++ b/src/main/java/merlinlever/dns/wire/Tsig.java
@@ -15,39 +15,42 @@
 import merlinlever.dns.record.Octets;
 import merlinlever.dns.record.RecordTypes;
 
-/** Signatures of messages (RFC 8945). Times are Unix seconds and arguments, so that tests can choose them. */
+/** Signs messages and verifies their signatures (RFC 8945). Times are arguments in Unix seconds. */
 public final class Tsig {
 
-    /** The signature does not match (RFC 8945 section 3). */
+    /** Error BADSIG: the signature does not match (RFC 8945 section 3). */
     public static final int BADSIG = 16;
-    /** The key is unknown. */
+    /** Error BADKEY: the key is unknown. */
     public static final int BADKEY = 17;
-    /** The time is too far from this side's. */
+    /** Error BADTIME: the time of signing differs from the local clock by more than the fudge. */
     public static final int BADTIME = 18;
-    /** The signature is truncated further than is accepted. */
+    /** Error BADTRUNC: the MAC is truncated to fewer octets than permitted. */
     public static final int BADTRUNC = 22;
 
-    /** Seconds by which clocks may differ (RFC 8945 section 10). */
+    /** Permitted clock difference in seconds (RFC 8945 section 10). */
     public static final int FUDGE = 300;
 
-    /** Octets of the time, 48 bits. */
+    /** Size of the time field in octets (48 bits). */
     private static final int TIME_BYTES = 6;
-    /** Octets of the data between algorithm and MAC: time, fudge, length of the MAC. */
+    /** Size in octets of the fixed fields before the MAC: time, fudge and length of the MAC. */
     static final int BYTES_BEFORE_MAC = TIME_BYTES + 2 * Short.BYTES;
-    /** Octets of the data beside algorithm, MAC and other data; behind the MAC: id, error, length of other data. */
+    /**
+     * Size in octets of all fixed fields of the data. The original id, the error and the length of the other data
+     * follow the MAC.
+     */
     static final int FIXED_BYTES = BYTES_BEFORE_MAC + 3 * Short.BYTES;
 
     private static final int MIN_SECRET_BYTES = 16;
-    /** Octets of the longest MAC, that of SHA-512. */
+    /** Size in octets of the longest MAC, that of SHA-512. */
     private static final int MAX_MAC_BYTES = 64;
-    /** Octets of a truncated MAC (RFC 8945 section 5.2.2.1). */
+    /** Minimum size in octets of a truncated MAC (RFC 8945 section 5.2.2.1). */
     private static final int MIN_MAC_BYTES = 10;
-    /** Messages of a stream that may come unsigned in a row (RFC 8945 section 5.3.1). */
+    /** Maximum number of consecutive unsigned messages in a stream (RFC 8945 section 5.3.1). */
     private static final int MAX_UNSIGNED_MESSAGES = 99;
 
     private static final byte[] NO_OTHER_DATA = {};
 
-    /** Names of the JDK by names of algorithms (RFC 8945 section 6). */
+    /** Maps TSIG algorithm names to the algorithm names of the JDK (RFC 8945 section 6). */
     private static final Map<String, String> ALGORITHMS = new TreeMap<>(Map.of(
             "hmac-sha224",
             "HmacSHA224",
@@ -58,7 +61,7 @@
             "hmac-sha512",
             "HmacSHA512"));
 
-    /** A shared secret with its name. Immutable. */
+    /** A named shared secret. Immutable. */
     public static final class TsigKey {
         private final byte[] name;
         private final byte[] algorithm;
@@ -66,18 +69,19 @@
         private final SecretKeySpec secret;
 
         /**
-         * Checks the algorithm and the length of the secret.
+         * Creates a key.
          *
-         * @param name on the wire, in lower case
-         * @param algorithm such as hmac-sha256
+         * @param name the key name on the wire, in lower case
+         * @param algorithm the algorithm name, for example hmac-sha256
+         * @throws MalformedDnsException if the algorithm is unknown or the secret is too short
          */
         public TsigKey(byte[] name, String algorithm, byte[] secret) throws MalformedDnsException {
             if (!ALGORITHMS.containsKey(algorithm)) {
                 throw new MalformedDnsException(
-                        "no algorithm " + algorithm + "; there are " + String.join(", ", ALGORITHMS.keySet()));
+                        "unknown algorithm " + algorithm + "; supported: " + String.join(", ", ALGORITHMS.keySet()));
             }
             if (secret.length < MIN_SECRET_BYTES) {
-                throw new MalformedDnsException("a secret of under " + MIN_SECRET_BYTES + " octets");
+                throw new MalformedDnsException("secret is shorter than " + MIN_SECRET_BYTES + " octets");
             }
             this.name = name;
             this.algorithm = DomainNames.absolute(algorithm);
@@ -85,7 +89,7 @@
             this.secret = new SecretKeySpec(secret, macName);
         }
 
-        /** The name on the wire, in lower case. */
+        /** Returns the key name on the wire, in lower case. */
         public byte[] name() {
             return name;
         }
@@ -101,16 +105,16 @@
         }
     }
 
-    /** The keys that are accepted; several at once, so that one can replace another while in service. */
+    /** The accepted keys. Several keys can be valid at once, which permits key rotation without downtime. */
     public static final class TsigKeyRing {
         private final Map<String, TsigKey> byName = new LinkedHashMap<>();
 
-        /** Keys by their names; the last of a name counts. */
+        /** Creates a key ring. If several keys have the same name, the last one is used. */
         public TsigKeyRing(List<TsigKey> keys) {
             keys.forEach(key -> byName.put(DomainNames.text(key.name), key));
         }
 
-        /** The key of the name, or null. */
+        /** Returns the key with the name, or null if the name is unknown. */
         public TsigKey find(byte[] name) {
             return byName.get(DomainNames.text(name));
         }
@@ -119,22 +123,22 @@
     /**
      * The result of verifying a signature.
      *
-     * @param error 0, or one of the errors of this class
-     * @param key null where it is unknown
-     * @param mac of the message, which the signature of the response covers
-     * @param time when it was signed
+     * @param error 0 for a valid signature, or one of the error constants of this class
+     * @param key the key, or null if the key is unknown
+     * @param mac the MAC of the message; the signature of the response covers this MAC
+     * @param time the time of signing, in Unix seconds
      */
     public record Verification(int error, TsigKey key, byte[] mac, long time) {}
 
     /**
      * A signed message.
      *
-     * @param mac which the signature of the response covers
+     * @param mac the MAC of the message; the signature of the response covers this MAC
      */
     public record SignedMessage(byte[] octets, byte[] mac) {}
 
-    /** The fields of a TSIG record beside the MAC; the MAC covers them (RFC 8945 section 4.3.3). */
-    private record Variables(byte[] key, byte[] algorithm, long time, int fudge, int error, byte[] other) {
+    /** The fields of a TSIG record that its MAC covers (RFC 8945 section 4.3.3). */
+    private record Variables(byte[] keyName, byte[] algorithm, long time, int fudge, int error, byte[] otherData) {
 
         static Variables of(TsigKey key, long time) {
             return new Variables(key.name, key.algorithm, time, FUDGE, 0, NO_OTHER_DATA);
@@ -142,12 +146,12 @@
 
         static Variables of(DnsMessage.Signature signature) {
             return new Variables(
-                    signature.key(),
+                    signature.keyName(),
                     signature.algorithm(),
                     signature.time(),
                     signature.fudge(),
                     signature.error(),
-                    signature.other());
+                    signature.otherData());
         }
 
         byte[] timers() {
@@ -159,8 +163,8 @@
         }
 
         void update(Mac mac) {
-            mac.update(key);
-            // The class ANY, and a time to live of 0.
+            mac.update(keyName);
+            // Class ANY and a time to live of 0.
             byte[] classAndTtl = new byte[Short.BYTES + Integer.BYTES];
             Octets.put16(classAndTtl, 0, RecordTypes.CLASS_ANY);
             mac.update(classAndTtl);
@@ -168,9 +172,9 @@
             mac.update(timers());
             byte[] errorAndLength = new byte[2 * Short.BYTES];
             Octets.put16(errorAndLength, 0, error);
-            Octets.put16(errorAndLength, Short.BYTES, other.length);
+            Octets.put16(errorAndLength, Short.BYTES, otherData.length);
             mac.update(errorAndLength);
-            mac.update(other);
+            mac.update(otherData);
         }
     }
 
@@ -180,29 +184,29 @@
      * Verifies the signature of a message.
      *
      * @param now Unix seconds
-     * @param requestMac the MAC of the request that the message answers, or null
-     * @throws MalformedDnsException where the MAC has a length that is not allowed
+     * @param requestMac the MAC of the request if the message is a response, else null
+     * @throws MalformedDnsException if the MAC has a length that is not permitted
      */
     public static Verification verify(DnsMessage message, TsigKeyRing keys, long now, byte[] requestMac)
             throws MalformedDnsException {
         DnsMessage.Signature signature = message.signature();
-        TsigKey key = keys.find(signature.key());
+        TsigKey key = keys.find(signature.keyName());
         if (key == null || !Arrays.equals(key.algorithm, signature.algorithm())) {
             return new Verification(BADKEY, null, signature.mac(), signature.time());
         }
         Mac mac = key.newMac();
         updateWithPriorMac(mac, requestMac);
-        mac.update(withoutSignature(message));
+        mac.update(withoutTsigRecord(message));
         Variables.of(signature).update(mac);
-        return compare(mac.doFinal(), key, signature, now);
+        return checkMac(mac.doFinal(), key, signature, now);
     }
 
-    private static Verification compare(byte[] expected, TsigKey key, DnsMessage.Signature signature, long now)
+    private static Verification checkMac(byte[] expected, TsigKey key, DnsMessage.Signature signature, long now)
             throws MalformedDnsException {
         byte[] mac = signature.mac();
         // RFC 8945 section 5.2.2.1.
         if (mac.length > expected.length || mac.length < Math.max(MIN_MAC_BYTES, expected.length / 2)) {
-            throw new MalformedDnsException("a signature of " + mac.length + " octets");
+            throw new MalformedDnsException("MAC size of " + mac.length + " octets is not permitted");
         }
         if (!MessageDigest.isEqual(Arrays.copyOf(expected, mac.length), mac)) {
             return new Verification(BADSIG, key, mac, signature.time());
@@ -213,43 +217,43 @@
         return new Verification(mac.length < expected.length ? BADTRUNC : 0, key, mac, signature.time());
     }
 
-    private static void updateWithPriorMac(Mac mac, byte[] prior) {
-        if (prior != null) {
+    private static void updateWithPriorMac(Mac mac, byte[] priorMac) {
+        if (priorMac != null) {
             byte[] length = new byte[Short.BYTES];
-            Octets.put16(length, 0, prior.length);
+            Octets.put16(length, 0, priorMac.length);
             mac.update(length);
-            mac.update(prior);
+            mac.update(priorMac);
         }
     }
 
-    /** The message as it was before it was signed: with its original id and one additional record less. */
-    private static byte[] withoutSignature(DnsMessage message) {
-        byte[] octets = Arrays.copyOf(message.octets(), message.signature().at());
-        Octets.put16(octets, 0, message.signature().id());
+    /** Restores the message as it was before signing: with the original id and without the TSIG record. */
+    private static byte[] withoutTsigRecord(DnsMessage message) {
+        byte[] octets = Arrays.copyOf(message.octets(), message.signature().offset());
+        Octets.put16(octets, 0, message.signature().originalId());
         addToAdditionalCount(octets, -1);
         return octets;
     }
 
     private static void addToAdditionalCount(byte[] message, int difference) {
-        int at = MessageSection.ADDITIONAL.countOffset();
-        Octets.put16(message, at, Octets.u16(message, at) + difference);
+        int offset = MessageSection.ADDITIONAL.countOffset();
+        Octets.put16(message, offset, Octets.u16(message, offset) + difference);
     }
 
     /**
      * Signs a message.
      *
      * @param now Unix seconds
-     * @param requestMac the MAC of the request that the message answers, or null
+     * @param requestMac the MAC of the request if the message is a response, else null
      */
     public static SignedMessage sign(byte[] message, TsigKey key, long now, byte[] requestMac) {
         return sign(message, key, Variables.of(key, now), requestMac);
     }
 
-    /** Signs a response with the error BADTIME: the time of the request, and this side's time as other data (5.2.3). */
+    /** Signs a response with the error BADTIME; the other data holds the local time (RFC 8945 section 5.2.3). */
     public static SignedMessage signBadTime(
             byte[] message, TsigKey key, long requestTime, long now, byte[] requestMac) {
-        byte[] ownTime = Arrays.copyOf(Variables.of(key, now).timers(), TIME_BYTES);
-        Variables variables = new Variables(key.name, key.algorithm, requestTime, FUDGE, BADTIME, ownTime);
+        byte[] localTime = Arrays.copyOf(Variables.of(key, now).timers(), TIME_BYTES);
+        Variables variables = new Variables(key.name, key.algorithm, requestTime, FUDGE, BADTIME, localTime);
         return sign(message, key, variables, requestMac);
     }
 
@@ -259,22 +263,22 @@
         mac.update(message);
         variables.update(mac);
         byte[] signature = mac.doFinal();
-        return new SignedMessage(withSignature(message, variables, signature), signature);
+        return new SignedMessage(withTsigRecord(message, variables, signature), signature);
     }
 
-    /** A response with the error BADKEY or BADSIG, which carries no MAC (RFC 8945 section 5.3.2). */
+    /** Adds a TSIG record without a MAC to a response with the error BADKEY or BADSIG (RFC 8945 section 5.3.2). */
     public static byte[] unsignedError(byte[] message, DnsMessage.Signature request, int error) {
         Variables variables = new Variables(
-                request.key(), request.algorithm(), request.time(), request.fudge(), error, NO_OTHER_DATA);
-        return withSignature(message, variables, new byte[0]);
+                request.keyName(), request.algorithm(), request.time(), request.fudge(), error, NO_OTHER_DATA);
+        return withTsigRecord(message, variables, new byte[0]);
     }
 
-    private static byte[] withSignature(byte[] message, Variables variables, byte[] mac) {
+    private static byte[] withTsigRecord(byte[] message, Variables variables, byte[] mac) {
         byte[] algorithm = variables.algorithm;
-        int dataLength = algorithm.length + FIXED_BYTES + mac.length + variables.other.length;
-        int ownerEnd = message.length + variables.key.length;
+        int dataLength = algorithm.length + FIXED_BYTES + mac.length + variables.otherData.length;
+        int ownerEnd = message.length + variables.keyName.length;
         byte[] signed = Arrays.copyOf(message, ownerEnd + DnsMessage.RECORD_FIXED_BYTES + dataLength);
-        System.arraycopy(variables.key, 0, signed, message.length, variables.key.length);
+        System.arraycopy(variables.keyName, 0, signed, message.length, variables.keyName.length);
         Octets.put16(signed, ownerEnd, RecordTypes.TSIG);
         Octets.put16(signed, ownerEnd + Short.BYTES, RecordTypes.CLASS_ANY);
         int at = ownerEnd + DnsMessage.RECORD_FIXED_BYTES;
@@ -285,8 +289,8 @@
         at = append(signed, at, mac);
         at = append16(signed, at, Octets.u16(message, 0));
         at = append16(signed, at, variables.error);
-        at = append16(signed, at, variables.other.length);
-        append(signed, at, variables.other);
+        at = append16(signed, at, variables.otherData.length);
+        append(signed, at, variables.otherData);
         addToAdditionalCount(signed, 1);
         return signed;
     }
@@ -301,7 +305,7 @@
         return at + Short.BYTES;
     }
 
-    /** Octets that a signature of the key adds at most. */
+    /** Returns the maximum size in octets of a TSIG record of the key. */
     public static int maxSignatureBytes(TsigKey key) {
         return key.name.length
                 + DnsMessage.RECORD_FIXED_BYTES
@@ -311,23 +315,27 @@
                 + TIME_BYTES;
     }
 
-    /** The signatures of a stream of messages that answer one request (RFC 8945 section 5.3.1). */
+    /** Signs or verifies the stream of messages that answers one request (RFC 8945 section 5.3.1). */
     public static final class SignatureChain {
         private final TsigKey key;
         private byte[] priorMac;
         private boolean isFirst = true;
-        /** Covers what was read since the last signature. */
+        /** Covers the messages received since the last signature; null if there are none. */
         private Mac pending;
 
         private int unsignedMessages;
 
-        /** A chain that begins with the MAC of the request. */
+        /** Creates a chain that starts with the MAC of the request. */
         public SignatureChain(TsigKey key, byte[] requestMac) {
             this.key = key;
             priorMac = requestMac;
         }
 
-        /** Signs the next message of the stream, at a time in Unix seconds. */
+        /**
+         * Signs the next message of the stream.
+         *
+         * @param now Unix seconds
+         */
         public byte[] sign(byte[] message, long now) {
             Mac mac = key.newMac();
             updateWithPriorMac(mac, priorMac);
@@ -335,10 +343,10 @@
             Variables variables = Variables.of(key, now);
             updateWithVariables(mac, variables);
             priorMac = mac.doFinal();
-            return withSignature(message, variables, priorMac);
+            return withTsigRecord(message, variables, priorMac);
         }
 
-        /** The first signature covers all variables, the others the time alone. */
+        /** Adds all variables to the first signature, and only the time fields to later ones. */
         private void updateWithVariables(Mac mac, Variables variables) {
             if (isFirst) {
                 variables.update(mac);
@@ -348,7 +356,7 @@
             isFirst = false;
         }
 
-        /** Whether the next message of the stream is valid; up to 99 in a row may come unsigned. */
+        /** Whether the next message of the stream is valid. Up to 99 consecutive messages may be unsigned. */
         public boolean verifyNext(DnsMessage message, long now) throws MalformedDnsException {
             if (pending == null) {
                 pending = key.newMac();
@@ -359,20 +367,20 @@
                 pending.update(message.octets());
                 return !isFirst && ++unsignedMessages <= MAX_UNSIGNED_MESSAGES;
             }
-            if (!Arrays.equals(signature.key(), key.name) || !Arrays.equals(signature.algorithm(), key.algorithm)) {
+            if (!Arrays.equals(signature.keyName(), key.name) || !Arrays.equals(signature.algorithm(), key.algorithm)) {
                 return false;
             }
             Mac mac = pending;
             pending = null;
-            mac.update(withoutSignature(message));
+            mac.update(withoutTsigRecord(message));
             updateWithVariables(mac, Variables.of(signature));
             unsignedMessages = 0;
             byte[] expected = mac.doFinal();
             priorMac = signature.mac();
-            return compare(expected, key, signature, now).error() == 0;
+            return checkMac(expected, key, signature, now).error() == 0;
         }
 
-        /** Whether the last message was signed, as the last of a stream has to be. */
+        /** Whether the stream can end here: its last message has to be signed. */
         public boolean isComplete() {
             return !isFirst && unsignedMessages == 0;
         }
--- a/src/main/java/merlinlever/dns/wire/package-info.java
+++ b/src/main/java/merlinlever/dns/wire/package-info.java
@@ -1,2 +1,2 @@
-/** Parses and writes DNS messages and their TSIG signatures. No input or output. */
+/** Parses and writes DNS messages and their TSIG signatures. Performs no I/O. */
 package merlinlever.dns.wire;
--- a/src/test/java/merlinlever/dns/follow/FollowerTest.java
+++ b/src/test/java/merlinlever/dns/follow/FollowerTest.java
@@ -170,8 +170,8 @@
                 } else {
                     // The claim and the records are two questions: what lies between them may change.
                     in(there, () -> {
-                        List<ResourceRecord> claims =
-                                records(DomainNames.prependLabel("_merlinlever".getBytes(UTF_8), NAME), RecordTypes.TXT);
+                        List<ResourceRecord> claims = records(
+                                DomainNames.prependLabel("_merlinlever".getBytes(UTF_8), NAME), RecordTypes.TXT);
                         in(
                                 1 + chance.nextInt(faults ? 300 : 2),
                                 () -> read.answered(
@@ -329,7 +329,9 @@
         for (ResourceRecord foreign : new ResourceRecord[] {
             new ResourceRecord(NAME, RecordTypes.A, 30, new byte[] {1, 2, 3, 4}),
             new ResourceRecord(
-                    DomainNames.prependLabel("_merlinlever".getBytes(UTF_8), NAME), RecordTypes.TXT, 30, new byte[] {1, 'q'}),
+                    DomainNames.prependLabel("_merlinlever".getBytes(UTF_8), NAME), RecordTypes.TXT, 30, new byte[] {
+                        1, 'q'
+                    }),
             new ResourceRecord(
                     DomainNames.prependLabel("_merlinlever".getBytes(UTF_8), NAME),
                     RecordTypes.TXT,
--- a/src/test/java/merlinlever/dns/wire/WireTest.java
+++ b/src/test/java/merlinlever/dns/wire/WireTest.java
@@ -6,6 +6,7 @@
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import java.util.Arrays;
 import java.util.List;
 import java.util.SplittableRandom;
 import merlinlever.dns.record.DomainNames;
@@ -45,57 +46,58 @@
     }
 
     @Test
-    void whatIsWrittenIsReadAndTheLibraryReadsTheSame() throws Exception {
+    void writtenMessageIsParsedBackAndByDnsjava() throws Exception {
         byte[] octets = message(200);
-        DnsMessage read = DnsMessage.read(octets);
-        assertEquals(200, read.authority().size());
+        DnsMessage parsed = DnsMessage.read(octets);
+        assertEquals(200, parsed.authority().size());
         assertEquals(
                 "n199.deep.example.org.",
-                DomainNames.text(read.authority().get(199).owner()));
-        org.xbill.DNS.Message theirs = new org.xbill.DNS.Message(octets);
-        assertEquals(200, theirs.getSection(2).size());
+                DomainNames.text(parsed.authority().get(199).owner()));
+        org.xbill.DNS.Message libraryMessage = new org.xbill.DNS.Message(octets);
+        assertEquals(200, libraryMessage.getSection(2).size());
         assertEquals(
                 "n199.deep.example.org.",
-                theirs.getSection(2).get(199).getName().toString());
-        assertTrue(octets.length < 200 * 30, "compressed");
+                libraryMessage.getSection(2).get(199).getName().toString());
+        assertTrue(octets.length < 200 * 30, "owner names are not compressed");
     }
 
-    private static int read;
-    private static int malformed;
+    private static int parsedCount;
+    private static int malformedCount;
 
-    /** Messages of any octets are read or malformed, in bounded time and memory: no other end. */
+    /** Corrupted messages are either parsed or reported as malformed; no other exception escapes. */
     @Property(tries = 60_000, seed = "12", edgeCases = EdgeCasesMode.NONE, shrinking = ShrinkingMode.OFF)
-    void garbageIsMalformedAndNothingElse(@ForAll long seed) throws Exception {
-        SplittableRandom chance = new SplittableRandom(seed);
-        byte[] bad = GOOD[chance.nextInt(3)].clone();
-        for (int k = chance.nextInt(8); k >= 0; k--) {
-            bad[chance.nextInt(bad.length)] = switch (chance.nextInt(3)) {
-                case 0 -> (byte) chance.nextInt(256);
+    void corruptedMessagesAreParsedOrMalformed(@ForAll long seed) throws Exception {
+        SplittableRandom random = new SplittableRandom(seed);
+        byte[] corrupted = VALID_MESSAGES[random.nextInt(3)].clone();
+        for (int k = random.nextInt(8); k >= 0; k--) {
+            corrupted[random.nextInt(corrupted.length)] = switch (random.nextInt(3)) {
+                case 0 -> (byte) random.nextInt(256);
                 case 1 -> (byte) 0xc0;
-                default -> (byte) chance.nextInt(20);
+                default -> (byte) random.nextInt(20);
             };
         }
-        bad = chance.nextInt(4) == 0 ? java.util.Arrays.copyOf(bad, chance.nextInt(bad.length)) : bad;
+        corrupted = random.nextInt(4) == 0 ? Arrays.copyOf(corrupted, random.nextInt(corrupted.length)) : corrupted;
         try {
-            DnsMessage message = DnsMessage.read(bad);
-            read++;
+            DnsMessage message = DnsMessage.read(corrupted);
+            parsedCount++;
             if (message.signature() != null) {
                 Tsig.verify(message, new Tsig.TsigKeyRing(List.of(key())), 1000, null);
             }
         } catch (MalformedDnsException e) {
-            malformed++;
+            malformedCount++;
             assertFalse(e.getMessage().isEmpty());
         }
     }
 
     @AfterContainer
-    static void bothHappened() {
-        assertTrue(read > 1000 && malformed > 1000, read + " read, " + malformed + " malformed");
+    static void bothResultsOccurred() {
+        assertTrue(
+                parsedCount > 1000 && malformedCount > 1000, parsedCount + " parsed, " + malformedCount + " malformed");
     }
 
-    private static final byte[][] GOOD = good();
+    private static final byte[][] VALID_MESSAGES = validMessages();
 
-    private static byte[][] good() {
+    private static byte[][] validMessages() {
         try {
             return new byte[][] {
                 message(5), Tsig.sign(message(2), key(), 1000, null).octets(), new byte[40]
@@ -106,7 +108,7 @@
     }
 
     @Test
-    void everyOctetOfASignedMessageCounts() throws Exception {
+    void changingAnyOctetOfASignedMessageInvalidatesIt() throws Exception {
         Tsig.TsigKeyRing keys = new Tsig.TsigKeyRing(List.of(key()));
         byte[] signed = Tsig.sign(message(2), key(), 1000, null).octets();
         assertEquals(0, Tsig.verify(DnsMessage.read(signed), keys, 1200, null).error());
@@ -114,32 +116,32 @@
                 Tsig.BADTIME,
                 Tsig.verify(DnsMessage.read(signed), keys, 1301, null).error());
         for (int at = 0; at < signed.length; at++) {
-            byte[] bad = signed.clone();
-            bad[at] ^= 0x04;
+            byte[] corrupted = signed.clone();
+            corrupted[at] ^= 0x04;
             try {
-                DnsMessage message = DnsMessage.read(bad);
-                // The id that the message travels under is not signed, the one in the signature is.
+                DnsMessage message = DnsMessage.read(corrupted);
+                // The signature covers the original id of the TSIG record, not the id of the header.
                 assertTrue(
                         at < 2
                                 || message.signature() == null
                                 || Tsig.verify(message, keys, 1000, null).error() != 0,
                         "octet " + at);
             } catch (MalformedDnsException expected) {
-                // Refused before its signature was looked at.
+                // Rejected by the parser, before the signature is verified.
             }
         }
     }
 
     @Test
-    void signaturesAreThoseOfTheLibrary() throws Exception {
-        TSIG theirs = new TSIG(TSIG.HMAC_SHA256, new Name("k."), SECRET);
+    void signaturesInteroperateWithDnsjava() throws Exception {
+        TSIG libraryKey = new TSIG(TSIG.HMAC_SHA256, new Name("k."), SECRET);
         long now = System.currentTimeMillis() / 1000;
         byte[] signed = Tsig.sign(message(3), key(), now, null).octets();
-        org.xbill.DNS.Message read = new org.xbill.DNS.Message(signed);
-        assertEquals(0, theirs.verify(read, signed, null));
-        org.xbill.DNS.Message made = new org.xbill.DNS.Message(message(1));
-        made.setTSIG(theirs, 0, null);
-        byte[] octets = made.toWire(65_535);
+        org.xbill.DNS.Message received = new org.xbill.DNS.Message(signed);
+        assertEquals(0, libraryKey.verify(received, signed, null));
+        org.xbill.DNS.Message librarySigned = new org.xbill.DNS.Message(message(1));
+        librarySigned.setTSIG(libraryKey, 0, null);
+        byte[] octets = librarySigned.toWire(65_535);
         assertEquals(
                 0,
                 Tsig.verify(DnsMessage.read(octets), new Tsig.TsigKeyRing(List.of(key())), now, null)
@@ -147,7 +149,7 @@
     }
 
     @Test
-    void aStreamHoldsOnlyWholeAndInOrder() throws Exception {
+    void aSignedStreamIsValidOnlyCompleteAndInOrder() throws Exception {
         byte[] mac = {1, 2, 3};
         Tsig.SignatureChain server = new Tsig.SignatureChain(key(), mac);
         byte[][] messages = new byte[5][];
@@ -155,8 +157,8 @@
             messages[i] = server.sign(message(i), 1000);
         }
         Tsig.SignatureChain client = new Tsig.SignatureChain(key(), mac);
-        for (byte[] each : messages) {
-            assertTrue(client.verifyNext(DnsMessage.read(each), 1000));
+        for (byte[] message : messages) {
+            assertTrue(client.verifyNext(DnsMessage.read(message), 1000));
         }
         assertTrue(client.isComplete());
         Tsig.SignatureChain skipping = new Tsig.SignatureChain(key(), mac);
@@ -167,7 +169,7 @@
     }
 
     @Test
-    void writingStopsWhereThereIsNoRoom() throws Exception {
+    void recordsBeyondTheSizeLimitAreNotWritten() throws Exception {
         MessageWriter out = new MessageWriter(1, 0, 100);
         out.question(DomainNames.absolute("example.org."), RecordTypes.A, RecordTypes.IN);
         int written = 0;
