--- a/src/main/java/merlinlever/dns/record/CompressedNames.java
+++ b/src/main/java/merlinlever/dns/record/CompressedNames.java
@@ -2,31 +2,31 @@
 
 import java.util.Arrays;
 
-/** Decodes one domain name of a message, with compression (RFC 1035 section 4.1.4). */
+/** Decodes a domain name in a message, which may be compressed (RFC 1035 section 4.1.4). */
 public final class CompressedNames {
 
-    /** The two high bits that mark a pointer, in the first octet of a label. */
+    /** The two high bits that distinguish a pointer from a label, in its first octet. */
     private static final int POINTER_MARK = 0xc0;
 
-    /** The bits of a pointer's first octet that belong to its offset. */
+    /** The bits of a pointer's first octet that hold the upper part of the offset. */
     private static final int POINTER_OFFSET_MASK = 0x3f;
 
     private final byte[] message;
     private final byte[] wire = new byte[DomainNames.MAX_BYTES];
     private int length;
     private int position;
-    /** Where the part that is being read has to end. */
+    /** The offset before which the current part of the name has to end. */
     private int limit;
-    /** Where the part that is being read began; a pointer leads to before it. */
+    /** The start of the current part of the name; a pointer has to refer to a smaller offset. */
     private int partStart;
-    /** Where the message continues behind the first pointer, or -1 before one. */
+    /** The offset after the first pointer, or -1 if no pointer was read. */
     private int continuation = -1;
 
     /**
      * A decoded name.
      *
-     * @param wire uncompressed, in lower case
-     * @param end the offset at which the message continues
+     * @param wire the uncompressed name in lower case
+     * @param end the offset of the first octet after the name in the message
      */
     public record DecodedName(byte[] wire, int end) {}
 
@@ -38,7 +38,8 @@
     }
 
     /**
-     * Decodes the name at an offset. A pointer may only lead to before the part that it ends, so there are no cycles.
+     * Decodes the name at an offset. A pointer may only refer to an offset before the part of the name that contains
+     * the pointer, which rules out cycles.
      *
      * @param end the offset before which the name has to end
      */
@@ -63,7 +64,7 @@
 
     private void requireAvailable(int count) throws MalformedDnsException {
         if (position + count > limit) {
-            throw new MalformedDnsException("a name is cut short");
+            throw new MalformedDnsException("domain name is truncated");
         }
     }
 
@@ -72,7 +73,7 @@
         int target =
                 (Octets.u8(message, position) & POINTER_OFFSET_MASK) << Byte.SIZE | Octets.u8(message, position + 1);
         if (target >= partStart) {
-            throw new MalformedDnsException("a name's pointer does not lead back");
+            throw new MalformedDnsException("compression pointer does not refer to an earlier offset");
         }
         continuation = continuation < 0 ? position + 2 : continuation;
         limit = partStart;
@@ -82,16 +83,16 @@
 
     private void copyLabel(int labelLength) throws MalformedDnsException {
         if (labelLength > DomainNames.MAX_LABEL_BYTES) {
-            throw new MalformedDnsException("a label of an unknown kind");
+            throw new MalformedDnsException("label type is unknown");
         }
         requireAvailable(1 + labelLength);
         int rootLength = labelLength == 0 ? 0 : 1;
         if (length + 1 + labelLength + rootLength > DomainNames.MAX_BYTES) {
-            throw new MalformedDnsException("a name over " + DomainNames.MAX_BYTES + " octets");
+            throw new MalformedDnsException("domain name is longer than " + DomainNames.MAX_BYTES + " octets");
         }
         wire[length++] = (byte) labelLength;
         for (int i = position + 1; i <= position + labelLength; i++) {
-            wire[length++] = (byte) DomainNames.lower(message[i]);
+            wire[length++] = (byte) DomainNames.toLowerCase(message[i]);
         }
         position += 1 + labelLength;
     }
--- a/src/main/java/merlinlever/dns/record/DomainNames.java
+++ b/src/main/java/merlinlever/dns/record/DomainNames.java
@@ -4,64 +4,66 @@
 import java.util.Locale;
 
 /**
- * Domain names as octets on the wire (RFC 1035 section 3.1), in lower case (RFC 4343), and as keys whose unsigned byte
- * order is the canonical order of RFC 4034 section 6.1. The key of an ancestor is a prefix of every key below it.
+ * Converts domain names between text, wire form and sort keys. The wire form (RFC 1035 section 3.1) is in lower case
+ * (RFC 4343). The unsigned byte order of the keys is the canonical order of RFC 4034 section 6.1; the key of an
+ * ancestor is a prefix of the keys of its descendants.
  */
 public final class DomainNames {
 
-    /** Octets of a name on the wire (RFC 1035 section 2.3.4). */
+    /** Maximum size in octets of a name on the wire (RFC 1035 section 2.3.4). */
     public static final int MAX_BYTES = 255;
 
-    /** Octets of a label without its length (RFC 1035 section 2.3.4). */
+    /** Maximum size in octets of a label without its length octet (RFC 1035 section 2.3.4). */
     public static final int MAX_LABEL_BYTES = 63;
 
-    /** Each label takes two octets at least. */
+    /** Maximum number of labels; each label takes at least two octets. */
     private static final int MAX_LABELS = (MAX_BYTES + 1) / 2;
 
-    /** Printable characters that have a meaning in zone files. */
+    /** Printable characters that are escaped in zone files because of their special meaning. */
     private static final String ESCAPED_CHARACTERS = ".\\\"();@$";
 
-    /** The root. */
-    @SuppressWarnings("MutablePublicArray") // names on the wire are byte arrays throughout; nobody writes into one
+    /** The root name. */
+    @SuppressWarnings("MutablePublicArray") // names on the wire are byte arrays and are never modified
     public static final byte[] ROOT = {0};
 
     private DomainNames() {}
 
     /**
-     * The name of a text as in zone files: escapes, {@code @} for the origin, a relative name below the origin.
+     * Parses a name in zone file syntax: with escapes, and {@code @} for the origin. A relative name is completed with
+     * the origin.
      *
-     * @param origin on the wire, or null where relative names are not allowed
+     * @param origin the origin on the wire, or null if relative names are not permitted
      */
     public static byte[] parse(String text, byte[] origin) throws MalformedDnsException {
         if (text.equals("@")) {
             if (origin == null) {
-                throw new MalformedDnsException("@ without an origin");
+                throw new MalformedDnsException("@ is used without an origin");
             }
             return origin;
         }
         return text.equals(".") ? ROOT : NameParser.parse(text, origin);
     }
 
-    /** An absolute name, with or without its last dot. */
+    /** Parses an absolute name; the final dot is optional. */
     public static byte[] absolute(String text) throws MalformedDnsException {
         return parse(text, ROOT);
     }
 
-    static int lower(int octet) {
+    static int toLowerCase(int octet) {
         return octet >= 'A' && octet <= 'Z' ? octet + ('a' - 'A') : octet;
     }
 
-    /** The name in lower case. */
+    /** Returns the name in lower case. */
     public static byte[] lower(byte[] wire) {
-        byte[] low = wire.clone();
-        for (int i = 0; i < low.length; i++) {
-            // The octets that hold a label's length are under 'A'.
-            low[i] = (byte) lower(low[i]);
+        byte[] lowerCase = wire.clone();
+        for (int i = 0; i < lowerCase.length; i++) {
+            // Length octets are at most 63, less than 'A', and remain unchanged.
+            lowerCase[i] = (byte) toLowerCase(lowerCase[i]);
         }
-        return low;
+        return lowerCase;
     }
 
-    /** The absolute name as in zone files, with its last dot. */
+    /** Returns the absolute name in zone file syntax, with the final dot. */
     public static String text(byte[] wire) {
         if (wire.length == 1) {
             return ".";
@@ -87,7 +89,7 @@
         text.append((char) octet);
     }
 
-    /** Whether the name is the ancestor or below it; both in lower case. */
+    /** Whether the name equals the ancestor or is below the ancestor; both names are in lower case. */
     public static boolean isUnder(byte[] name, byte[] ancestor) {
         int at = 0;
         while (name.length - at > ancestor.length) {
@@ -97,38 +99,38 @@
                 && Arrays.equals(name, at, name.length, ancestor, 0, ancestor.length);
     }
 
-    /** The name without its first label. */
+    /** Returns the name without its first label; the parent of the root is the root. */
     public static byte[] parent(byte[] wire) {
         return wire.length == 1 ? wire : Arrays.copyOfRange(wire, wire[0] + 1, wire.length);
     }
 
-    /** The name of the label directly below a name, or null if that is too long. */
+    /** Returns the name with the label added at its front, or null if the result is too long. */
     public static byte[] prependLabel(byte[] label, byte[] name) {
         if (label.length + 1 + name.length > MAX_BYTES) {
             return null;
         }
-        byte[] whole = new byte[label.length + 1 + name.length];
-        whole[0] = (byte) label.length;
-        System.arraycopy(label, 0, whole, 1, label.length);
-        System.arraycopy(name, 0, whole, label.length + 1, name.length);
-        return whole;
+        byte[] result = new byte[label.length + 1 + name.length];
+        result[0] = (byte) label.length;
+        System.arraycopy(label, 0, result, 1, label.length);
+        System.arraycopy(name, 0, result, label.length + 1, name.length);
+        return result;
     }
 
     /**
-     * The key of a name: the labels from the root on, each ended by 0, with 0 and 1 within a label written as 1 1 and
-     * 1 2.
+     * Returns the sort key of a name: its labels from the root downwards, each terminated by 0. Within a label, 0 is
+     * escaped as 1 1 and 1 as 1 2.
      */
     public static byte[] key(byte[] wire) {
         int[] starts = new int[MAX_LABELS];
         int labels = 0;
-        int special = 0;
+        int escapedCount = 0;
         for (int at = 0; wire[at] != 0; at += wire[at] + 1) {
             starts[labels++] = at;
             for (int i = at + 1; i <= at + wire[at]; i++) {
-                special += wire[i] == 0 || wire[i] == 1 ? 1 : 0;
+                escapedCount += wire[i] == 0 || wire[i] == 1 ? 1 : 0;
             }
         }
-        byte[] key = new byte[wire.length - 1 + special];
+        byte[] key = new byte[wire.length - 1 + escapedCount];
         int to = 0;
         for (int label = labels - 1; label >= 0; label--) {
             int at = starts[label];
@@ -145,7 +147,7 @@
         return key;
     }
 
-    /** The name of a key. */
+    /** Returns the wire form of the name with the sort key. */
     public static byte[] wire(byte[] key) {
         byte[] wire = new byte[key.length + 1];
         int from = wire.length - 1;
@@ -165,7 +167,7 @@
         return to == 0 ? wire : Arrays.copyOfRange(wire, to, wire.length);
     }
 
-    /** The length, in octets, of the whole labels that two keys have in common. */
+    /** Returns the size in octets of the longest common prefix of two sort keys that consists of whole labels. */
     public static int commonLabelBytes(byte[] a, byte[] b) {
         int end = Arrays.mismatch(a, b);
         end = end < 0 ? a.length : end;
@@ -175,7 +177,7 @@
         return end;
     }
 
-    /** Whether the name of the first key is the second's own name or an ancestor of it. */
+    /** Whether the name of the first sort key equals the name of the second or is one of its ancestors. */
     public static boolean isPrefix(byte[] prefix, byte[] key) {
         return key.length >= prefix.length && Arrays.equals(prefix, 0, prefix.length, key, 0, prefix.length);
     }
--- a/src/main/java/merlinlever/dns/record/IpAddresses.java
+++ b/src/main/java/merlinlever/dns/record/IpAddresses.java
@@ -3,7 +3,7 @@
 import java.util.Arrays;
 import java.util.regex.Pattern;
 
-/** IP addresses parsed strictly, without a name lookup. */
+/** Parses IP addresses strictly and without name lookups. */
 public final class IpAddresses {
 
     static final int IPV4_BYTES = 4;
@@ -16,7 +16,7 @@
 
     private IpAddresses() {}
 
-    /** The octets of four decimal numbers without leading zeros. */
+    /** Parses an IPv4 address of four decimal numbers without leading zeros. */
     public static byte[] parseIpv4(String text) throws MalformedDnsException {
         String[] parts = text.split("\\.", -1);
         byte[] address = new byte[IPV4_BYTES];
@@ -25,8 +25,8 @@
         }
         for (int i = 0; i < parts.length; i++) {
             String part = parts[i];
-            boolean isLong = part.length() > MAX_OCTET_DIGITS || (part.length() > 1 && part.charAt(0) == '0');
-            long value = isLong ? -1 : Digits.parse(part, MAX_OCTET);
+            boolean hasExtraDigits = part.length() > MAX_OCTET_DIGITS || (part.length() > 1 && part.charAt(0) == '0');
+            long value = hasExtraDigits ? -1 : Digits.parse(part, MAX_OCTET);
             if (value < 0) {
                 throw notIpv4(text);
             }
@@ -36,10 +36,10 @@
     }
 
     private static MalformedDnsException notIpv4(String text) {
-        return new MalformedDnsException("no IPv4 address: " + MalformedDnsException.excerpt(text));
+        return new MalformedDnsException("not an IPv4 address: " + MalformedDnsException.excerpt(text));
     }
 
-    /** The octets of an address in one of the forms of RFC 4291 section 2.2. */
+    /** Parses an IPv6 address in one of the forms of RFC 4291 section 2.2. */
     public static byte[] parseIpv6(String text) throws MalformedDnsException {
         return new Ipv6Parser(text).parse();
     }
@@ -49,7 +49,7 @@
         private final byte[] address = new byte[IPV6_BYTES];
         private int length;
         private int position;
-        /** Octets before the {@code ::}, or -1 where there is none. */
+        /** The number of octets before {@code ::}, or -1 if the address has no {@code ::}. */
         private int compressedAt = -1;
 
         Ipv6Parser(String text) {
@@ -119,15 +119,15 @@
                 throw notIpv6();
             }
             if (isCompressed) {
-                int moved = length - compressedAt;
-                System.arraycopy(address, compressedAt, address, IPV6_BYTES - moved, moved);
-                Arrays.fill(address, compressedAt, IPV6_BYTES - moved, (byte) 0);
+                int suffixLength = length - compressedAt;
+                System.arraycopy(address, compressedAt, address, IPV6_BYTES - suffixLength, suffixLength);
+                Arrays.fill(address, compressedAt, IPV6_BYTES - suffixLength, (byte) 0);
             }
             return address;
         }
 
         private MalformedDnsException notIpv6() {
-            return new MalformedDnsException("no IPv6 address: " + MalformedDnsException.excerpt(text));
+            return new MalformedDnsException("not an IPv6 address: " + MalformedDnsException.excerpt(text));
         }
     }
 }
--- a/src/main/java/merlinlever/dns/record/LibraryRdata.java
+++ b/src/main/java/merlinlever/dns/record/LibraryRdata.java
@@ -9,31 +9,31 @@
 import org.xbill.DNS.UNKRecord;
 
 /**
- * Record data of the types that dnsjava knows. Its parsers throw exceptions of many kinds for malformed data, so any that
- * they throw counts as malformed.
+ * Parses and formats record data with dnsjava. The parsers of dnsjava throw various unchecked exceptions, each of which
+ * is treated as malformed data.
  */
 final class LibraryRdata {
 
     private LibraryRdata() {}
 
-    /** The wire form of data that is written as in a zone file; the caller checks it again. */
+    /** Converts data in zone file syntax to its wire form. The caller validates the result. */
     static byte[] parse(int type, List<String> words, byte[] origin) throws MalformedDnsException {
         if (words.isEmpty()) {
-            throw new MalformedDnsException("no data for " + RecordTypes.text(type));
+            throw new MalformedDnsException(RecordTypes.text(type) + " record has no data");
         }
         try {
             Name libraryOrigin = origin == null ? null : new Name(origin);
             return Record.fromString(Name.root, type, DClass.IN, 0, joined(words), libraryOrigin)
                     .rdataToWireCanonical();
         } catch (IOException | RuntimeException e) {
-            // dnsjava's own words begin with the name of its parser.
+            // Removes the prefix that dnsjava adds to its messages.
             String reason =
                     e.getMessage() == null ? "malformed" : e.getMessage().replaceFirst("^.*?: ", "");
-            throw new MalformedDnsException("data of " + RecordTypes.text(type) + ": " + reason);
+            throw new MalformedDnsException("malformed data of " + RecordTypes.text(type) + " record: " + reason);
         }
     }
 
-    /** One line for dnsjava, which takes octets beyond ASCII only as escapes. */
+    /** Joins the words to one line and escapes characters beyond ASCII, which dnsjava accepts only as escapes. */
     private static String joined(List<String> words) {
         StringBuilder line = new StringBuilder();
         for (String word : words) {
@@ -50,7 +50,7 @@
         return line.toString();
     }
 
-    /** Whether dnsjava can read the data. */
+    /** Whether dnsjava can parse the data. */
     static boolean isWellFormed(int type, byte[] data) {
         try {
             return Record.newRecord(Name.root, type, DClass.IN, 0, data.length, data) != null;
@@ -59,11 +59,14 @@
         }
     }
 
-    /** The data as in a zone file, or empty where dnsjava does not know its form. */
+    /** Returns the data in zone file syntax, or empty if dnsjava does not support its type or cannot parse the data. */
     static Optional<String> text(int type, byte[] data) {
         try {
-            Record known = data.length == 0 ? null : Record.newRecord(Name.root, type, DClass.IN, 0, data.length, data);
-            return known == null || known instanceof UNKRecord ? Optional.empty() : Optional.of(known.rdataToString());
+            Record parsed =
+                    data.length == 0 ? null : Record.newRecord(Name.root, type, DClass.IN, 0, data.length, data);
+            return parsed == null || parsed instanceof UNKRecord
+                    ? Optional.empty()
+                    : Optional.of(parsed.rdataToString());
         } catch (RuntimeException e) {
             return Optional.empty();
         }
--- a/src/main/java/merlinlever/dns/record/NameParser.java
+++ b/src/main/java/merlinlever/dns/record/NameParser.java
@@ -2,7 +2,7 @@
 
 import java.util.Arrays;
 
-/** Parses one domain name as it is written in zone files (RFC 1035 section 5.1). */
+/** Parses a domain name in zone file syntax (RFC 1035 section 5.1). */
 final class NameParser {
 
     private static final int ESCAPED_DIGITS = 3;
@@ -10,7 +10,7 @@
 
     private final String text;
     private final byte[] wire = new byte[DomainNames.MAX_BYTES + 1];
-    /** Octets written, with the length octet of the label that is open. */
+    /** The number of octets written, including the length octet of the current label. */
     private int length = 1;
 
     private int labelStart;
@@ -19,7 +19,7 @@
     /**
      * An escape: a backslash and a character, or a backslash and three digits.
      *
-     * @param length characters that it takes in the text
+     * @param length the number of characters of the escape in the text
      */
     record Escape(int octet, int length) {}
 
@@ -27,7 +27,7 @@
         this.text = text;
     }
 
-    /** The name on the wire; a relative one is completed with the origin, which is null where none is allowed. */
+    /** Parses a name and completes a relative name with the origin. A null origin permits only absolute names. */
     static byte[] parse(String text, byte[] origin) throws MalformedDnsException {
         return new NameParser(text).parse(origin);
     }
@@ -46,14 +46,14 @@
             }
         }
         if (text.isEmpty()) {
-            throw new MalformedDnsException("an empty name");
+            throw new MalformedDnsException("domain name is empty");
         }
-        return isAbsolute ? Arrays.copyOf(wire, length) : completed(origin);
+        return isAbsolute ? Arrays.copyOf(wire, length) : completeWithOrigin(origin);
     }
 
     private void endLabel(int at) throws MalformedDnsException {
         if (length - labelStart == 1) {
-            throw new MalformedDnsException("an empty label in " + MalformedDnsException.excerpt(text));
+            throw new MalformedDnsException("empty label in " + MalformedDnsException.excerpt(text));
         }
         closeLabel();
         labelStart = length++;
@@ -64,45 +64,45 @@
         wire[labelStart] = (byte) (length - labelStart - 1);
     }
 
-    /** Appends the character or escape at the offset, and returns the characters that it takes. */
+    /** Appends the character or escape at the offset, and returns its number of characters in the text. */
     private int appendCharacter(int at) throws MalformedDnsException {
         char character = text.charAt(at);
-        Escape read = character == '\\' ? escape(text, at) : new Escape(character, 1);
+        Escape decoded = character == '\\' ? escape(text, at) : new Escape(character, 1);
         if (character < '!' || character > '~') {
             throw new MalformedDnsException(
-                    "a name holds only printable ASCII; write \\DDD in " + MalformedDnsException.excerpt(text));
+                    "domain name has a character outside printable ASCII, which requires \\DDD: "
+                            + MalformedDnsException.excerpt(text));
         }
         if (length - labelStart > DomainNames.MAX_LABEL_BYTES) {
-            throw new MalformedDnsException("a label over " + DomainNames.MAX_LABEL_BYTES + " octets in "
+            throw new MalformedDnsException("label is longer than " + DomainNames.MAX_LABEL_BYTES + " octets in "
                     + MalformedDnsException.excerpt(text));
         }
-        wire[length++] = (byte) DomainNames.lower(read.octet);
-        return read.length;
+        wire[length++] = (byte) DomainNames.toLowerCase(decoded.octet);
+        return decoded.length;
     }
 
-    private byte[] completed(byte[] origin) throws MalformedDnsException {
+    private byte[] completeWithOrigin(byte[] origin) throws MalformedDnsException {
         closeLabel();
         if (origin == null) {
-            throw new MalformedDnsException(
-                    "the relative name " + MalformedDnsException.excerpt(text) + " without an origin");
+            throw new MalformedDnsException("relative name " + MalformedDnsException.excerpt(text) + " has no origin");
         }
         if (length + origin.length > DomainNames.MAX_BYTES) {
             throw tooLong();
         }
-        byte[] whole = Arrays.copyOf(wire, length + origin.length);
-        System.arraycopy(origin, 0, whole, length, origin.length);
-        return whole;
+        byte[] result = Arrays.copyOf(wire, length + origin.length);
+        System.arraycopy(origin, 0, result, length, origin.length);
+        return result;
     }
 
     private MalformedDnsException tooLong() {
-        return new MalformedDnsException(
-                "a name over " + DomainNames.MAX_BYTES + " octets: " + MalformedDnsException.excerpt(text));
+        return new MalformedDnsException("domain name is longer than " + DomainNames.MAX_BYTES + " octets: "
+                + MalformedDnsException.excerpt(text));
     }
 
-    /** The escape whose backslash is at the offset. */
+    /** Parses the escape whose backslash is at the offset. */
     static Escape escape(String text, int at) throws MalformedDnsException {
         if (at + 1 >= text.length()) {
-            throw new MalformedDnsException("a backslash at the end of " + MalformedDnsException.excerpt(text));
+            throw new MalformedDnsException("incomplete escape at the end of " + MalformedDnsException.excerpt(text));
         }
         char first = text.charAt(at + 1);
         if (first < '0' || first > '9') {
@@ -113,12 +113,12 @@
             char digit = at + i < text.length() ? text.charAt(at + i) : 'x';
             if (digit < '0' || digit > '9') {
                 throw new MalformedDnsException(
-                        "an escape is a backslash and three digits in " + MalformedDnsException.excerpt(text));
+                        "escape has fewer than three digits in " + MalformedDnsException.excerpt(text));
             }
             value = value * 10 + digit - '0';
         }
         if (value > MAX_OCTET) {
-            throw new MalformedDnsException("an escape over 255 in " + MalformedDnsException.excerpt(text));
+            throw new MalformedDnsException("escape is larger than 255 in " + MalformedDnsException.excerpt(text));
         }
         return new Escape(value, 1 + ESCAPED_DIGITS);
     }
--- a/src/main/java/merlinlever/dns/record/Rdata.java
+++ b/src/main/java/merlinlever/dns/record/Rdata.java
@@ -5,30 +5,30 @@
 import java.util.HexFormat;
 import java.util.List;
 
-/** The data of records: from text, from messages, and to text. */
+/** Parses the data of records from text and from messages, and converts the data to text. */
 public final class Rdata {
 
-    /** Octets of one record's data (RFC 1035 section 3.2.1). */
+    /** Maximum size in octets of the data of a record (RFC 1035 section 3.2.1). */
     public static final int MAX_BYTES = 65_535;
 
     private Rdata() {}
 
     /**
-     * The wire form of data that is written as in a zone file.
+     * Converts data in zone file syntax to its wire form.
      *
-     * @param words as they stand in the file: with escapes, and quoted ones with their quotes
-     * @param origin that completes relative names, or null
+     * @param words the words of the file, including escapes and quotes
+     * @param origin the origin that completes relative names, or null if relative names are not permitted
      */
     public static byte[] fromText(int type, List<String> words, byte[] origin) throws MalformedDnsException {
         return RdataText.parse(type, words, origin);
     }
 
-    /** The data of a record in a message, with names uncompressed and in lower case; its form is checked. */
+    /** Validates the data of a record in a message, and returns the data with names uncompressed and in lower case. */
     public static byte[] fromWire(int type, byte[] message, int start, int length) throws MalformedDnsException {
         if (type == RecordTypes.A || type == RecordTypes.AAAA) {
             int expected = type == RecordTypes.A ? IpAddresses.IPV4_BYTES : IpAddresses.IPV6_BYTES;
             if (length != expected) {
-                throw new MalformedDnsException("an address of " + length + " octets");
+                throw new MalformedDnsException("address has " + length + " octets, expected " + expected);
             }
             return Arrays.copyOfRange(message, start, start + length);
         }
@@ -37,9 +37,9 @@
             return readFields(type, fields, message, start, length);
         }
         byte[] data = Arrays.copyOfRange(message, start, start + length);
-        boolean stringsAreWhole = type != RecordTypes.TXT || isCharacterStrings(data);
-        if (!stringsAreWhole || !LibraryRdata.isWellFormed(type, data)) {
-            throw new MalformedDnsException("data of " + RecordTypes.text(type) + " is malformed");
+        boolean hasValidStrings = type != RecordTypes.TXT || isCharacterStrings(data);
+        if (!hasValidStrings || !LibraryRdata.isWellFormed(type, data)) {
+            throw new MalformedDnsException("data of " + RecordTypes.text(type) + " record is malformed");
         }
         return data;
     }
@@ -61,27 +61,27 @@
                 fieldLength = position < end ? 1 + Octets.u8(message, position) : 1;
             }
             if (position + fieldLength > end) {
-                throw new MalformedDnsException("data of " + RecordTypes.text(type) + " is cut short");
+                throw new MalformedDnsException("data of " + RecordTypes.text(type) + " record is truncated");
             }
             data.write(message, position, fieldLength);
             position += fieldLength;
         }
         if (position != end) {
-            throw new MalformedDnsException("data of " + RecordTypes.text(type) + " goes on behind its end");
+            throw new MalformedDnsException("data of " + RecordTypes.text(type) + " record has trailing octets");
         }
         return data.toByteArray();
     }
 
-    /** Whether the data is one whole character string or more. */
+    /** Whether the data consists of one or more complete character strings. */
     private static boolean isCharacterStrings(byte[] data) {
-        int at = 0;
-        while (at < data.length) {
-            at += 1 + Octets.u8(data, at);
+        int offset = 0;
+        while (offset < data.length) {
+            offset += 1 + Octets.u8(data, offset);
         }
-        return at == data.length && at > 0;
+        return offset == data.length && offset > 0;
     }
 
-    /** The data as in a zone file; of an unknown form, its octets (RFC 3597 section 5). */
+    /** Returns the data in zone file syntax, for unknown types in the generic form (RFC 3597 section 5). */
     public static String text(int type, byte[] data) {
         return LibraryRdata.text(type, data).orElseGet(() -> {
             String octets = data.length == 0 ? "" : " " + HexFormat.of().formatHex(data);
--- a/src/main/java/merlinlever/dns/record/RdataLayout.java
+++ b/src/main/java/merlinlever/dns/record/RdataLayout.java
@@ -3,21 +3,20 @@
 import java.util.List;
 import java.util.Map;
 
-/** The fields of the record types whose data holds domain names, which may come compressed or in any case. */
+/** Field layouts of the record types whose data contains domain names, which need decompression and lower case. */
 final class RdataLayout {
 
-    /** A kind of field. */
     enum FieldKind {
         DOMAIN_NAME,
-        /** A length octet and as many octets. */
+        /** A length octet, followed by that number of octets. */
         CHARACTER_STRING,
         FIXED_LENGTH
     }
 
     /**
-     * One field.
+     * A field of record data.
      *
-     * @param length octets of a field of fixed length, else 0
+     * @param length the size in octets of a fixed-length field, or 0 for other kinds
      */
     record Field(FieldKind kind, int length) {}
 
@@ -58,7 +57,7 @@
         return new Field(FieldKind.FIXED_LENGTH, length);
     }
 
-    /** The fields of the type, or an empty list where its data holds no names. */
+    /** Returns the fields of the type, or an empty list if its data contains no domain names. */
     static List<Field> of(int type) {
         return FIELDS_BY_TYPE.getOrDefault(type, List.of());
     }
--- a/src/main/java/merlinlever/dns/record/RdataText.java
+++ b/src/main/java/merlinlever/dns/record/RdataText.java
@@ -5,32 +5,32 @@
 import java.util.HexFormat;
 import java.util.List;
 
-/** Parses record data as it is written in zone files. Common types are parsed here, strictly; the others by dnsjava. */
+/** Parses record data in zone file syntax. Common types are parsed strictly by this class, other types by dnsjava. */
 final class RdataText {
 
-    /** Begins data in the form for all types (RFC 3597 section 5). */
+    /** Marks data in the generic form, which all types permit (RFC 3597 section 5). */
     private static final String GENERIC_MARK = "\\#";
 
-    /** Octets of a character string without its length (RFC 1035 section 3.3). */
+    /** Maximum size in octets of a character string without its length octet (RFC 1035 section 3.3). */
     private static final int MAX_STRING_BYTES = 255;
 
     private static final long MAX_U16 = 0xffff;
     private static final long MAX_U32 = 0xffff_ffffL;
 
-    /** Fields of an SOA (RFC 1035 section 3.3.13): two names, then the serial and four times. */
+    /** Number of fields of an SOA record (RFC 1035 section 3.3.13): two names, the serial and four times. */
     private static final int SOA_FIELDS = 7;
 
     private static final int SOA_SERIAL_FIELD = 2;
 
-    /** Fields of an SRV (RFC 2782): priority, weight, port, target. */
+    /** Number of fields of an SRV record (RFC 2782): priority, weight, port and target. */
     private static final int SRV_FIELDS = 4;
 
     private RdataText() {}
 
-    /** See {@link Rdata#fromText}. */
+    /** Converts data in zone file syntax to its wire form; see {@link Rdata#fromText}. */
     static byte[] parse(int type, List<String> words, byte[] origin) throws MalformedDnsException {
         if (!words.isEmpty() && words.get(0).equals(GENERIC_MARK)) {
-            return generic(type, words);
+            return parseGeneric(type, words);
         }
         return switch (type) {
             case RecordTypes.A -> {
@@ -96,7 +96,7 @@
             data.writeBytes(field);
         }
         if (data.size() > Rdata.MAX_BYTES) {
-            throw new MalformedDnsException("data over " + Rdata.MAX_BYTES + " octets");
+            throw new MalformedDnsException("record data is longer than " + Rdata.MAX_BYTES + " octets");
         }
         return data.toByteArray();
     }
@@ -136,7 +136,7 @@
         for (String word : words) {
             byte[] string = unquoted(word);
             if (string.length > MAX_STRING_BYTES) {
-                throw new MalformedDnsException("a string over " + MAX_STRING_BYTES + " octets");
+                throw new MalformedDnsException("character string is longer than " + MAX_STRING_BYTES + " octets");
             }
             data.write(string.length);
             data.writeBytes(string);
@@ -152,26 +152,26 @@
         int length = 0;
         int at = from;
         while (at < to) {
-            NameParser.Escape read =
+            NameParser.Escape decoded =
                     word.charAt(at) == '\\' ? NameParser.escape(word, at) : new NameParser.Escape(word.charAt(at), 1);
-            octets[length++] = (byte) read.octet();
-            at += read.length();
+            octets[length++] = (byte) decoded.octet();
+            at += decoded.length();
         }
         return Arrays.copyOf(octets, length);
     }
 
-    private static byte[] generic(int type, List<String> words) throws MalformedDnsException {
+    private static byte[] parseGeneric(int type, List<String> words) throws MalformedDnsException {
         long length = words.size() < 2 ? -1 : Digits.parse(words.get(1), Rdata.MAX_BYTES);
         String hex = String.join("", words.subList(Math.min(2, words.size()), words.size()));
         if (length < 0 || hex.length() != 2 * length) {
-            throw new MalformedDnsException(
-                    "\\# wants a length and as many octets in hex, found " + hex.length() + " digits");
+            throw new MalformedDnsException("expected \\#, a length, and that number of octets in hexadecimal; found "
+                    + hex.length() + " digits");
         }
         byte[] data;
         try {
             data = HexFormat.of().parseHex(hex);
         } catch (IllegalArgumentException e) {
-            throw new MalformedDnsException("not hex: " + MalformedDnsException.excerpt(hex));
+            throw new MalformedDnsException("not a hexadecimal number: " + MalformedDnsException.excerpt(hex));
         }
         return Rdata.fromWire(type, data, 0, data.length);
     }
--- a/src/main/java/merlinlever/dns/record/RecordTypes.java
+++ b/src/main/java/merlinlever/dns/record/RecordTypes.java
@@ -3,8 +3,8 @@
 import org.xbill.DNS.Type;
 
 /**
- * Record types that this program treats specially, and the names of all types. Types are numbers, since unknown ones are
- * stored and served as well (RFC 3597).
+ * Defines the record types and classes that need special treatment, and converts type numbers to and from names. Types
+ * are plain numbers because unknown types are stored and served too (RFC 3597).
  */
 public final class RecordTypes {
 
@@ -76,30 +76,30 @@
     /** The class ANY (RFC 1035 section 3.2.5). */
     public static final int CLASS_ANY = 255;
 
-    /** Query and meta types lie in this range (RFC 6895 section 3.1). */
+    /** First number of the range of query and meta types (RFC 6895 section 3.1). */
     private static final int FIRST_META_TYPE = 128;
 
     private static final int LAST_META_TYPE = 255;
 
     private static final int MAX_TYPE = 0xffff;
 
-    /** Precedes the number of a type without a name (RFC 3597 section 5). */
+    /** Prefix of the number of a type without a name (RFC 3597 section 5). */
     private static final String NUMBER_PREFIX = "TYPE";
 
     private RecordTypes() {}
 
-    /** Whether no zone holds the type: it is for queries, or for one message only. */
+    /** Whether the type occurs only in queries or messages, never in a zone. */
     public static boolean isMeta(int type) {
         return type == 0 || type == OPT || (type >= FIRST_META_TYPE && type <= LAST_META_TYPE);
     }
 
-    /** The name of the type, such as AAAA or TYPE65280. */
+    /** Returns the name of the type, for example AAAA or TYPE65280. */
     public static String text(int type) {
-        String known = Type.string(type);
-        return known == null ? NUMBER_PREFIX + type : known;
+        String name = Type.string(type);
+        return name == null ? NUMBER_PREFIX + type : name;
     }
 
-    /** The type of a name such as AAAA or TYPE65280, or -1. */
+    /** Returns the type with a name such as AAAA or TYPE65280, or -1 if the name is unknown. */
     public static int number(String text) {
         int prefix = NUMBER_PREFIX.length();
         if (!text.regionMatches(true, 0, NUMBER_PREFIX, 0, prefix) || text.length() == prefix) {
--- a/src/main/java/merlinlever/dns/record/ResourceRecord.java
+++ b/src/main/java/merlinlever/dns/record/ResourceRecord.java
@@ -3,15 +3,15 @@
 import java.util.Arrays;
 
 /**
- * A record of class IN.
+ * A resource record of class IN.
  *
- * @param owner its name on the wire, in lower case
- * @param ttl seconds, 0 to 2^31 - 1 (RFC 2181 section 8)
- * @param data as on the wire, uncompressed, names in lower case
+ * @param owner the owner name on the wire, in lower case
+ * @param ttl the time to live in seconds, 0 to 2^31 - 1 (RFC 2181 section 8)
+ * @param data the data in wire form, with names uncompressed and in lower case
  */
 public record ResourceRecord(byte[] owner, int type, long ttl, byte[] data) {
 
-    /** The longest time to live, in seconds. */
+    /** Maximum time to live in seconds. */
     public static final long MAX_TTL_SECONDS = Integer.MAX_VALUE;
 
     @Override
@@ -28,7 +28,7 @@
         return (Arrays.hashCode(owner) * 31 + type) * 31 + Arrays.hashCode(data);
     }
 
-    /** As in a zone file. */
+    /** Returns the record in zone file syntax. */
     @Override
     public String toString() {
         return DomainNames.text(owner) + " " + ttl + " IN " + RecordTypes.text(type) + " " + Rdata.text(type, data);
--- a/src/main/java/merlinlever/dns/record/TimeToLive.java
+++ b/src/main/java/merlinlever/dns/record/TimeToLive.java
@@ -4,24 +4,27 @@
 import java.time.temporal.ChronoUnit;
 import java.util.OptionalLong;
 
-/** Times of records as they are written in zone files. */
+/** Parses durations in zone file syntax. */
 public final class TimeToLive {
 
     private TimeToLive() {}
 
-    /** Seconds of digits, or of parts such as 1w2d3h4m5s; empty where malformed or over the longest time to live. */
-    public static OptionalLong parseSeconds(String word) {
-        long seconds = Digits.parse(word, ResourceRecord.MAX_TTL_SECONDS);
-        return seconds >= 0 ? OptionalLong.of(seconds) : parseParts(word);
+    /**
+     * Parses a number of seconds, or a duration with units such as 1w2d3h4m5s. Returns empty if the text is malformed
+     * or the duration exceeds the maximum time to live.
+     */
+    public static OptionalLong parseSeconds(String text) {
+        long seconds = Digits.parse(text, ResourceRecord.MAX_TTL_SECONDS);
+        return seconds >= 0 ? OptionalLong.of(seconds) : parseParts(text);
     }
 
-    private static OptionalLong parseParts(String word) {
+    private static OptionalLong parseParts(String text) {
         long sum = 0;
         int start = 0;
-        for (int i = 0; i < word.length(); i++) {
-            long unit = unitSeconds(word.charAt(i));
+        for (int i = 0; i < text.length(); i++) {
+            long unit = unitSeconds(text.charAt(i));
             if (unit > 0) {
-                long count = Digits.parse(word.substring(start, i), ResourceRecord.MAX_TTL_SECONDS);
+                long count = Digits.parse(text.substring(start, i), ResourceRecord.MAX_TTL_SECONDS);
                 if (count < 0) {
                     return OptionalLong.empty();
                 }
@@ -29,8 +32,8 @@
                 start = i + 1;
             }
         }
-        boolean isWhole = start == word.length() && start > 0;
-        return isWhole && sum >= 0 && sum <= ResourceRecord.MAX_TTL_SECONDS
+        boolean isComplete = start == text.length() && start > 0;
+        return isComplete && sum >= 0 && sum <= ResourceRecord.MAX_TTL_SECONDS
                 ? OptionalLong.of(sum)
                 : OptionalLong.empty();
     }
--- a/src/main/java/merlinlever/dns/record/package-info.java
+++ b/src/main/java/merlinlever/dns/record/package-info.java
@@ -1,2 +1,2 @@
-/** Names, types and data of DNS records as octets, on which all other packages of {@code dns} stand. No input or output. */
+/** Names, types and data of DNS records. Used by all other packages of {@code dns}; performs no I/O. */
 package merlinlever.dns.record;
--- a/src/test/java/merlinlever/cli/dns/ZoneServerKillTest.java
+++ b/src/test/java/merlinlever/cli/dns/ZoneServerKillTest.java
@@ -256,7 +256,7 @@
             awaitAnswers(loop, answered, MIN_ANSWERS);
             Files.writeString(folder.resolve("z"), good.replace("host 7", "host 9000000") + "bad A 1.2.3\n");
             new ProcessBuilder("kill", "-HUP", "" + process.pid()).start().waitFor();
-            awaitLine("/z:6: no IPv4 address: 1.2.3");
+            awaitLine("/z:6: not an IPv4 address: 1.2.3");
             Zone zone = fetch(loop, asker, key);
             assertNotNull(zone.set(name("old.example.org."), RecordTypes.TXT));
             assertTrue(zone.serial() < 9_000_000);
--- a/src/test/java/merlinlever/dns/text/ZoneFileTest.java
+++ b/src/test/java/merlinlever/dns/text/ZoneFileTest.java
@@ -52,10 +52,10 @@
 
     @Test
     void eachFaultIsToldWithItsLineAndNothingIsUsed() throws Exception {
-        rejected("x A 1.2.3\n", "no IPv4 address: 1.2.3");
-        rejected("x A 01.2.3.4\n", "no IPv4 address: 01.2.3.4");
+        rejected("x A 1.2.3\n", "not an IPv4 address: 1.2.3");
+        rejected("x A 01.2.3.4\n", "not an IPv4 address: 01.2.3.4");
         rejected("x A 1.2.3.4 5\n", "expected an address, found 2 words");
-        rejected("x AAAA 1::2::3\n", "no IPv6 address: 1::2::3");
+        rejected("x AAAA 1::2::3\n", "not an IPv6 address: 1::2::3");
         rejected("x TXT \"open\n", "a quote is not closed on its line");
         rejected("x TXT ( a\n b\n", "a parenthesis is not closed");
         rejected("x TXT a )\n", "a closing parenthesis without an opening one");
@@ -66,17 +66,19 @@
         rejected("x.example.com. A 1.2.3.4\n", "x.example.com. is out of the zone example.org.");
         rejected("@ SOA ns1 host 8 1 1 1 1\n", "a second SOA; the first is at " + folder.resolve("z") + ":3");
         rejected("x MX 70000 a\n", "expected a number from 0 to 65535, found 70000");
-        rejected("x TYPE65400 \\# 2 010203\n", "\\# wants a length and as many octets in hex, found 6 digits");
-        rejected("x A \\# 3 010203\n", "an address of 3 octets");
-        rejected("a..b A 1.2.3.4\n", "an empty label in a..b");
-        rejected("x".repeat(64) + " A 1.2.3.4\n", "a label over 63 octets in " + "x".repeat(40) + "...");
+        rejected(
+                "x TYPE65400 \\# 2 010203\n",
+                "expected \\#, a length, and that number of octets in hexadecimal; found 6 digits");
+        rejected("x A \\# 3 010203\n", "address has 3 octets, expected 4");
+        rejected("a..b A 1.2.3.4\n", "empty label in a..b");
+        rejected("x".repeat(64) + " A 1.2.3.4\n", "label is longer than 63 octets in " + "x".repeat(40) + "...");
         rejected(
                 ("y".repeat(60) + ".").repeat(4) + "z A 1.2.3.4\n",
-                "a name over 255 octets: " + "y".repeat(40) + "...");
+                "domain name is longer than 255 octets: " + "y".repeat(40) + "...");
         rejected("$GENERATE 1-2 a$ A 1.2.3.4\n", "unknown directive $GENERATE; known are $ORIGIN, $TTL, $INCLUDE");
         rejected("$INCLUDE ../other\n", "$INCLUDE ../other leaves the folder of the zone file");
         rejected("$INCLUDE /etc/hostname\n", "$INCLUDE /etc/hostname leaves the folder of the zone file");
-        rejected("x\\300 A 1.2.3.4\n", "an escape over 255 in x\\300");
+        rejected("x\\300 A 1.2.3.4\n", "escape is larger than 255 in x\\300");
         assertEquals(
                 List.of("z:6: a CNAME beside other data at c.example.org."), faults(HEAD + "c CNAME x\nc A 1.2.3.4\n"));
         assertEquals(
@@ -119,7 +121,7 @@
         assertTrue(zone.set(DomainNames.absolute("b.deep.example.org"), RecordTypes.A) != null);
         assertTrue(zone.set(DomainNames.absolute("c.example.org"), RecordTypes.A) != null);
         Files.writeString(folder.resolve("sub/more2"), "b A x\n");
-        assertEquals(List.of("sub/more2:1: no IPv4 address: x"), faults(HEAD + "$INCLUDE sub/more deep\n"));
+        assertEquals(List.of("sub/more2:1: not an IPv4 address: x"), faults(HEAD + "$INCLUDE sub/more deep\n"));
         Files.writeString(folder.resolve("sub/loop"), "$INCLUDE loop\n");
         assertEquals(List.of("sub/loop:1: files included over 8 deep"), faults(HEAD + "$INCLUDE sub/loop\n"));
         Files.createSymbolicLink(folder.resolve("link"), Path.of("/etc/hostname"));
