--- a/src/main/java/merlinlever/dns/package-info.java
+++ b/src/main/java/merlinlever/dns/package-info.java
@@ -1,6 +1,6 @@
 /**
- * An authoritative DNS server with dynamic updates and zone transfers, a client that brings a zone to a wanted content,
- * and a follower that keeps a name on the instances that are alive. The commands in {@code cli.dns} start them;
- * {@code serve} loads none of it.
+ * An authoritative DNS server with dynamic updates and zone transfers, a client that updates a zone to a desired state,
+ * and a follower that points a name to the live instances. The commands in {@code cli.dns} start these programs; the
+ * {@code serve} command loads no class of this package.
  */
 package merlinlever.dns;
--- a/src/main/java/merlinlever/dns/server/ByteArrayKey.java
+++ b/src/main/java/merlinlever/dns/server/ByteArrayKey.java
@@ -2,7 +2,7 @@
 
 import java.util.Arrays;
 
-/** Octets as the key of a map, compared by content. */
+/** A map key that compares octets by content. */
 record ByteArrayKey(byte[] octets) {
     @Override
     public boolean equals(Object other) {
--- a/src/main/java/merlinlever/dns/server/DnsConnection.java
+++ b/src/main/java/merlinlever/dns/server/DnsConnection.java
@@ -11,19 +11,19 @@
 import merlinlever.common.net.EventLoop;
 import merlinlever.dns.wire.DnsMessage;
 
-/** One TCP connection (RFC 7766): messages with their length before them, answers in the order in which they are ready. */
+/** A TCP connection (RFC 7766). Each message is preceded by its length; responses are sent as they become ready. */
 final class DnsConnection implements Connection.Handler {
 
-    /** Octets of the length before each message (RFC 1035 section 4.2.2). */
+    /** Size in octets of the length field before each message (RFC 1035 section 4.2.2). */
     private static final int LENGTH_BYTES = Short.BYTES;
 
-    /** Octets of the largest message with its length. */
-    static final int READ_BUFFER = LENGTH_BYTES + DnsMessage.MAX_BYTES;
+    /** Size in octets of the largest message including its length field. */
+    static final int READ_BUFFER_BYTES = LENGTH_BYTES + DnsMessage.MAX_BYTES;
 
-    /** Octets that wait to be written: a few responses of the largest size. */
-    static final int MAX_QUEUED_BYTES = 8 * READ_BUFFER;
+    /** Maximum number of octets queued for writing; room for a few responses of the largest size. */
+    static final int MAX_QUEUED_BYTES = 8 * READ_BUFFER_BYTES;
 
-    /** Pending messages of one connection; further ones are read when one is answered. */
+    /** Maximum number of pending messages of a connection; reading pauses at this limit. */
     private static final int MAX_IN_FLIGHT = 64;
 
     private static final Duration MESSAGE_TIMEOUT = Duration.ofSeconds(5);
@@ -37,8 +37,8 @@
     private Duration idleSince;
     private Duration incompleteSince;
     private Duration unwrittenSince;
-    private ZoneTransfer sending;
-    private Consumer<Boolean> transferDone;
+    private ZoneTransfer currentTransfer;
+    private Consumer<Boolean> onTransferEnded;
     private final ArrayDeque<Runnable> queuedTransfers = new ArrayDeque<>(0);
     private boolean isClosing;
 
@@ -49,8 +49,8 @@
         idleSince = loop.clock().now();
     }
 
-    void attach(Connection mine) {
-        connection = mine;
+    void attach(Connection opened) {
+        connection = opened;
         connection.resumeReading();
     }
 
@@ -67,13 +67,13 @@
             byte[] octets = new byte[length];
             in.get(octets);
             incompleteSince = in.hasRemaining() ? now : null;
-            ConnectionReply one = new ConnectionReply();
-            PendingMessage asked = processor.receive(now, octets, Duration.ZERO, one);
-            if (asked != null && !one.answered) {
-                one.asked = asked;
-                inFlight.add(asked);
-            } else if (!one.answered) {
-                // Not a question: nothing that such a peer says next is worth reading.
+            ConnectionReply reply = new ConnectionReply();
+            PendingMessage pending = processor.receive(now, octets, Duration.ZERO, reply);
+            if (pending != null && !reply.isAnswered) {
+                reply.pending = pending;
+                inFlight.add(pending);
+            } else if (!reply.isAnswered) {
+                // The message was dropped because it is not a request; the peer does not follow the protocol.
                 connection.close(CloseReason.PROTOCOL_ERROR);
                 return;
             }
@@ -81,27 +81,27 @@
         idleSince = now;
     }
 
-    /** Where the answer to one message goes. */
+    /** Sends the response to one message over the connection. */
     private final class ConnectionReply implements ReplyChannel {
-        private PendingMessage asked;
-        private boolean answered;
+        private PendingMessage pending;
+        private boolean isAnswered;
 
         @Override
         public boolean isDatagram() {
             return false;
         }
 
-        private void over() {
-            answered = true;
-            inFlight.remove(asked);
+        private void finish() {
+            isAnswered = true;
+            inFlight.remove(pending);
             idleSince = loop.clock().now();
-            // Behind this batch: what waits in the buffer is read now that there is room.
+            // Reads buffered messages after this batch, because a pending message has ended.
             loop.execute(connection::redeliver);
         }
 
         @Override
         public void answer(byte[] octets) {
-            over();
+            finish();
             if (octets == null) {
                 connection.close(CloseReason.COMPLETED);
             } else {
@@ -110,23 +110,23 @@
         }
 
         @Override
-        public void answer(ZoneTransfer transfer, Consumer<Boolean> done) {
+        public void answer(ZoneTransfer transfer, Consumer<Boolean> onEnded) {
             if (!connection.isOpen()) {
-                done.accept(false);
+                onEnded.accept(false);
                 return;
             }
-            Runnable begin = () -> {
-                sending = transfer;
-                transferDone = well -> {
-                    over();
-                    done.accept(well);
+            Runnable start = () -> {
+                currentTransfer = transfer;
+                onTransferEnded = isComplete -> {
+                    finish();
+                    onEnded.accept(isComplete);
                 };
                 sendNextMessage();
             };
-            if (sending == null) {
-                begin.run();
+            if (currentTransfer == null) {
+                start.run();
             } else {
-                queuedTransfers.add(begin);
+                queuedTransfers.add(start);
             }
         }
     }
@@ -140,15 +140,15 @@
     }
 
     private void sendNextMessage() {
-        byte[] octets = sending.next();
+        byte[] octets = currentTransfer.next();
         if (octets != null) {
             write(octets);
             return;
         }
-        Consumer<Boolean> done = transferDone;
-        sending = null;
-        transferDone = null;
-        done.accept(true);
+        Consumer<Boolean> onEnded = onTransferEnded;
+        currentTransfer = null;
+        onTransferEnded = null;
+        onEnded.accept(true);
         if (!queuedTransfers.isEmpty()) {
             queuedTransfers.poll().run();
         }
@@ -158,7 +158,7 @@
     public void onFlushed() {
         unwrittenSince = null;
         idleSince = loop.clock().now();
-        if (sending != null) {
+        if (currentTransfer != null) {
             sendNextMessage();
         } else if (isClosing && inFlight.isEmpty()) {
             connection.close(CloseReason.COMPLETED);
@@ -166,22 +166,22 @@
     }
 
     @Override
-    public void onClosed(CloseReason how) {
+    public void onClosed(CloseReason reason) {
         Duration now = loop.clock().now();
-        for (PendingMessage asked : List.copyOf(inFlight)) {
-            processor.clientDisconnected(now, asked);
+        for (PendingMessage pending : List.copyOf(inFlight)) {
+            processor.clientDisconnected(now, pending);
         }
         inFlight.clear();
-        if (sending != null) {
-            Consumer<Boolean> done = transferDone;
-            sending = null;
-            transferDone = null;
-            done.accept(false);
+        if (currentTransfer != null) {
+            Consumer<Boolean> onEnded = onTransferEnded;
+            currentTransfer = null;
+            onTransferEnded = null;
+            onEnded.accept(false);
         }
         onClosed.accept(this);
     }
 
-    /** Closes the connection if it was idle, or slow, for too long. */
+    /** Closes the connection if an idle, read or write timeout has elapsed. */
     void closeIfTimedOut(Duration now) {
         if ((incompleteSince != null
                         && inFlight.size() < MAX_IN_FLIGHT
@@ -193,8 +193,8 @@
         }
     }
 
-    private static boolean hasElapsed(Duration since, Duration now, Duration span) {
-        return now.minus(since).compareTo(span) >= 0;
+    private static boolean hasElapsed(Duration since, Duration now, Duration timeout) {
+        return now.minus(since).compareTo(timeout) >= 0;
     }
 
     /** Closes the connection after the last response. */
@@ -205,7 +205,7 @@
         }
     }
 
-    /** Closes the connection if nothing is pending on it; returns whether it did. */
+    /** Closes the connection if it has no pending message and no unwritten octets; returns whether it was closed. */
     boolean closeIfIdle() {
         if (inFlight.isEmpty() && unwrittenSince == null) {
             connection.close(CloseReason.IDLE);
--- a/src/main/java/merlinlever/dns/server/DnsControllerSettings.java
+++ b/src/main/java/merlinlever/dns/server/DnsControllerSettings.java
@@ -9,23 +9,23 @@
 import merlinlever.controller.settings.RequestSemantics;
 import merlinlever.dns.server.PendingMessage.MessageKind;
 
-/** The overload controller's settings for a DNS server: one priority class for each kind of message. */
+/** Settings of the overload controller for a DNS server, with one priority class per kind of message. */
 final class DnsControllerSettings {
 
-    /** Messages started in one turn; the controller decides again after each turn. */
-    static final int MAX_STARTS_PER_TURN = 16;
+    /** Maximum number of messages started between two decisions of the controller. */
+    static final int MAX_STARTS_PER_DECISION = 16;
 
-    /** Memory that remembering one update takes, with its duplicates, in KiB. */
+    /** Memory in KiB for one remembered update and its duplicates. */
     private static final double KB_PER_UPDATE = 0.5;
 
     private static final int KB_PER_MB = 1024;
 
-    /** Updates and transfers wait for the disk or a reader without using a core, so many may be in flight. */
+    /** Exceeds 1 because updates and transfers wait for the disk or the peer without using a core. */
     private static final int IN_FLIGHT_PER_CORE = 8;
 
     private static final Duration MAX_RETRY_AFTER = Duration.ofSeconds(2);
 
-    /** The part of its priority weight that a message keeps when it is answered after its latency objective. */
+    /** Fraction of the priority weight that applies to a response after the latency objective. */
     private static final double LATE_WEIGHT = 0.2;
 
     private static final double QUERY_WEIGHT = 1;
@@ -39,14 +39,14 @@
     private DnsControllerSettings() {}
 
     /**
-     * The settings, with the priority classes in the order of {@link MessageKind}.
+     * Returns the settings, with the priority classes in the order of {@link MessageKind}.
      *
-     * @param memoryMb that messages in flight and remembered updates may take, in MiB
-     * @param drainGrace after the start of a drain in which new messages are still admitted
+     * @param memoryMb the memory limit for messages in flight and remembered updates, in MiB
+     * @param drainGrace the period after the start of a drain in which new messages are still admitted
      */
     static ControllerSettings of(double memoryMb, Duration drainGrace) {
         ControllerSettings.Builder settings = ControllerSettings.builder()
-                .cores(MAX_STARTS_PER_TURN)
+                .cores(MAX_STARTS_PER_DECISION)
                 .gauges(List.of(Gauge.RUN_QUEUE))
                 .memoryKb(memoryMb * KB_PER_MB)
                 .runMemoryFactor(1)
--- a/src/main/java/merlinlever/dns/server/DnsRequest.java
+++ b/src/main/java/merlinlever/dns/server/DnsRequest.java
@@ -4,14 +4,14 @@
 import merlinlever.dns.wire.Tsig;
 
 /**
- * A message that was parsed and whose signature, if any, is valid.
+ * A parsed message and the result of verifying its signature.
  *
- * @param verification of its signature, or null where it is unsigned
- * @param replyChannel where its response goes
+ * @param verification the result of the verification, or null for an unsigned message
+ * @param replyChannel sends the response
  */
 record DnsRequest(DnsMessage message, Tsig.Verification verification, ReplyChannel replyChannel) {
 
-    /** The name of the key that signed it, or null. */
+    /** Returns the name of the key that signed the message, or null for an unsigned message. */
     byte[] keyName() {
         return verification == null ? null : verification.key().name();
     }
--- a/src/main/java/merlinlever/dns/server/DnsServer.java
+++ b/src/main/java/merlinlever/dns/server/DnsServer.java
@@ -16,7 +16,7 @@
 import merlinlever.common.net.EventLoop;
 import merlinlever.dns.wire.DnsMessage;
 
-/** The sockets of a DNS server: datagrams and connections on one address. */
+/** Receives DNS messages over UDP and TCP on one address. */
 public final class DnsServer {
 
     private static final Duration TIMEOUT_CHECK_PERIOD = Duration.ofMillis(250);
@@ -26,23 +26,23 @@
     private final RequestProcessor processor;
     private final DatagramEndpoint datagrams;
     private final ConnectionAcceptor listener;
-    private final Set<DnsConnection> streams = new LinkedHashSet<>();
+    private final Set<DnsConnection> connections = new LinkedHashSet<>();
     private final List<ServedZone> zones;
-    private EventLoop.Timer alarm;
+    private EventLoop.Timer wakeUpTimer;
 
     /**
-     * Where the server listens, over UDP and TCP.
+     * Listen address and connection limit.
      *
-     * @param address port 0 takes a free port
-     * @param maxConnections open at once
+     * @param address the address for UDP and TCP; port 0 selects a free port
+     * @param maxConnections the maximum number of open connections
      */
     public record ListenSettings(InetSocketAddress address, int maxConnections) {}
 
     /**
-     * Binds the sockets and starts to serve.
+     * Binds the sockets and starts serving.
      *
-     * @param unixClock in seconds
-     * @throws IOException where the address cannot be bound
+     * @param unixClock returns Unix seconds
+     * @throws IOException if the address cannot be bound
      */
     public DnsServer(
             EventLoop loop,
@@ -56,112 +56,118 @@
         this.loop = loop;
         this.zones = zonesAndKeys.zones();
         InetSocketAddress address = listen.address;
-        processor = new RequestProcessor(zonesAndKeys, settings, unixClock, log, this::alarm, metrics);
+        processor = new RequestProcessor(zonesAndKeys, settings, unixClock, log, this::scheduleWakeUp, metrics);
         IOException failure = null;
-        ConnectionAcceptor listening = null;
-        DatagramEndpoint taking = null;
-        for (int i = 0; i < MAX_BIND_ATTEMPTS && taking == null; i++) {
-            listening = new ConnectionAcceptor(
+        ConnectionAcceptor newListener = null;
+        DatagramEndpoint newDatagrams = null;
+        for (int i = 0; i < MAX_BIND_ATTEMPTS && newDatagrams == null; i++) {
+            newListener = new ConnectionAcceptor(
                     loop, address, listen.maxConnections, this::accepted, this::closeIdleConnection);
             try {
-                // A free port has to be free for both protocols.
-                taking = new DatagramEndpoint(loop, listening.address(), DnsMessage.MAX_BYTES, this::receive);
+                // The port has to be free for both protocols.
+                newDatagrams = new DatagramEndpoint(loop, newListener.address(), DnsMessage.MAX_BYTES, this::receive);
             } catch (IOException e) {
-                listening.close();
+                newListener.close();
                 failure = e;
                 if (address.getPort() != 0) {
                     break;
                 }
             }
         }
-        if (taking == null) {
+        if (newDatagrams == null) {
             throw failure;
         }
-        listener = listening;
-        datagrams = taking;
+        listener = newListener;
+        datagrams = newDatagrams;
         listener.accept();
         loop.setAfterBatch(() -> processor.decide(loop.clock().now()));
-        loop.runNowAndEvery(TIMEOUT_CHECK_PERIOD, () -> List.copyOf(streams)
-                .forEach(stream -> stream.closeIfTimedOut(loop.clock().now())));
+        loop.runNowAndEvery(TIMEOUT_CHECK_PERIOD, () -> List.copyOf(connections)
+                .forEach(connection -> connection.closeIfTimedOut(loop.clock().now())));
     }
 
-    /** The address that it listens on, with the port. */
+    /** Returns the address and port that the server listens on. */
     public InetSocketAddress address() throws IOException {
         return listener.address();
     }
 
-    /** The processor of its messages. */
+    /** Returns the processor of the received messages. */
     public RequestProcessor processor() {
         return processor;
     }
 
-    private void alarm(Duration at) {
-        if (alarm != null) {
-            alarm.cancel();
+    private void scheduleWakeUp(Duration at) {
+        if (wakeUpTimer != null) {
+            wakeUpTimer.cancel();
         }
-        alarm = loop.schedule(
+        wakeUpTimer = loop.schedule(
                 at.minus(loop.clock().now()),
                 () -> processor.wakeUp(loop.clock().now()));
     }
 
-    private void receive(byte[] octets, InetSocketAddress from, Duration waited) {
-        processor.receive(loop.clock().now(), octets, waited, new ReplyChannel() {
+    private void receive(byte[] octets, InetSocketAddress from, Duration readDelay) {
+        processor.receive(loop.clock().now(), octets, readDelay, new ReplyChannel() {
             @Override
             public boolean isDatagram() {
                 return true;
             }
 
             @Override
-            public void answer(byte[] answer) {
-                if (answer != null) {
-                    datagrams.send(answer, from);
+            public void answer(byte[] response) {
+                if (response != null) {
+                    datagrams.send(response, from);
                 }
             }
 
             @Override
-            public void answer(ZoneTransfer transfer, Consumer<Boolean> done) {
-                // By a datagram only the newest version's SOA is told (RFC 1995 section 2).
+            public void answer(ZoneTransfer transfer, Consumer<Boolean> onEnded) {
+                // A datagram carries only the SOA record of the newest version (RFC 1995 section 2).
                 datagrams.send(transfer.next(), from);
-                done.accept(true);
+                onEnded.accept(true);
             }
         });
     }
 
     private void accepted(AsynchronousSocketChannel channel) {
-        DnsConnection stream = new DnsConnection(loop, processor, this::connectionClosed);
-        streams.add(stream);
-        stream.attach(
-                Connection.accepted(loop, channel, stream, DnsConnection.READ_BUFFER, DnsConnection.MAX_QUEUED_BYTES));
+        DnsConnection connection = new DnsConnection(loop, processor, this::connectionClosed);
+        connections.add(connection);
+        connection.attach(Connection.accepted(
+                loop, channel, connection, DnsConnection.READ_BUFFER_BYTES, DnsConnection.MAX_QUEUED_BYTES));
     }
 
-    private void connectionClosed(DnsConnection stream) {
-        if (streams.remove(stream)) {
+    private void connectionClosed(DnsConnection connection) {
+        if (connections.remove(connection)) {
             listener.connectionClosed();
         }
     }
 
     private void closeIdleConnection() {
-        for (DnsConnection stream : streams) {
-            if (stream.closeIfIdle()) {
+        for (DnsConnection connection : connections) {
+            if (connection.closeIfIdle()) {
                 return;
             }
         }
     }
 
-    /** Starts the drain, which ends after {@code stop}; messages within the grace period are still admitted. */
+    /**
+     * Starts the drain. Messages received within the grace period are still admitted.
+     *
+     * @param stop the time from now until the process stops
+     */
     public void startDrain(Duration stop) {
         processor.startDrain(loop.clock().now(), loop.clock().now().plus(stop));
     }
 
-    /** Stops reading; {@link #isDrained} says when all that was read is answered. */
+    /** Closes the listener, and each connection after its last response; see {@link #isDrained}. */
     public void close() {
         listener.close();
-        List.copyOf(streams).forEach(DnsConnection::closeWhenAnswered);
+        List.copyOf(connections).forEach(DnsConnection::closeWhenAnswered);
     }
 
-    /** Whether all messages that were read are answered, and no write to the disk is in flight. */
+    /** Whether all received messages are answered, all connections are closed and no disk write is in flight. */
     public boolean isDrained() {
-        return processor.inFlight() == 0 && streams.isEmpty() && zones.stream().allMatch(ServedZone::isIdle);
+        return processor.inFlight() == 0
+                && connections.isEmpty()
+                && zones.stream().allMatch(ServedZone::isIdle);
     }
 
     /** Closes the datagram socket. */
--- a/src/main/java/merlinlever/dns/server/ImmediateResponder.java
+++ b/src/main/java/merlinlever/dns/server/ImmediateResponder.java
@@ -2,7 +2,7 @@
 
 import merlinlever.dns.wire.DnsMessage;
 
-/** Answers requests that are not admitted to the overload controller, and counts them by response code. */
+/** Answers requests that are not submitted to the overload controller, and counts them. */
 final class ImmediateResponder {
 
     private final ResponseBuilder responses;
@@ -19,18 +19,21 @@
         request.replyChannel().answer(responses.withCode(request.message(), request.verification(), code));
     }
 
-    /** Answers a request with a version of EDNS that is not supported (RFC 6891 section 6.1.3). */
-    void answerUnknownEdns(DnsRequest request) {
-        request.replyChannel().answer(responses.unknownEdns(request.message(), request.verification()));
+    /** Answers a request whose EDNS version is not supported (RFC 6891 section 6.1.3). */
+    void answerUnsupportedEdns(DnsRequest request) {
+        request.replyChannel().answer(responses.unsupportedEdns(request.message(), request.verification()));
     }
 
-    /** Answers what cannot be parsed. */
+    /** Answers a message that cannot be parsed. */
     void answerMalformed(byte[] octets, ReplyChannel replyChannel) {
         metrics.malformed();
         replyChannel.answer(ResponseBuilder.malformed(octets));
     }
 
-    /** Drops what has no header, and responses: two servers would otherwise answer each other for ever. */
+    /**
+     * Whether the octets are dropped, because they have no complete header or are a response; counts dropped octets.
+     * Answering responses could cause an endless exchange between two servers.
+     */
     boolean isDropped(byte[] octets) {
         boolean dropped = DnsMessage.id(octets) < 0 || (DnsMessage.flags(octets) & DnsMessage.RESPONSE) != 0;
         if (dropped) {
--- a/src/main/java/merlinlever/dns/server/MessageLifecycle.java
+++ b/src/main/java/merlinlever/dns/server/MessageLifecycle.java
@@ -16,8 +16,8 @@
 import merlinlever.policy.ControllerMetrics;
 
 /**
- * Carries out the overload controller's decisions about messages. Writing an update to the disk and sending a transfer to
- * its reader are the downstream calls of a message. Used on the event loop.
+ * Executes the decisions of the overload controller about messages. Downstream calls are the disk write of an update
+ * and the sending of a transfer. Used on the event loop.
  */
 final class MessageLifecycle implements DecisionHandler<PendingMessage> {
 
@@ -30,37 +30,37 @@
     private final ResponseBuilder responses;
     private final ZoneServerMetrics metrics;
     private final EventLog log;
-    private final Consumer<Duration> alarm;
+    private final Consumer<Duration> wakeUpScheduler;
     private Duration now = Duration.ZERO;
-    /** Whether something happened since the controller decided last. */
+    /** Whether an event has occurred since the last decision of the controller. */
     private boolean needsDecision = true;
 
     private int inFlight;
     private int submittedSinceDecision;
 
-    /** @param alarm is told when {@link #wakeUp} is to be called */
+    /** @param wakeUpScheduler receives the time at which {@link #wakeUp} is to be called */
     MessageLifecycle(
             ProcessorSettings settings,
             Handlers handlers,
             ResponseBuilder responses,
             ZoneServerMetrics metrics,
             EventLog log,
-            Consumer<Duration> alarm) {
+            Consumer<Duration> wakeUpScheduler) {
         queries = handlers.queries;
         updates = handlers.updates;
         transfers = handlers.transfers;
         this.responses = responses;
         this.metrics = metrics;
         this.log = log;
-        this.alarm = alarm;
+        this.wakeUpScheduler = wakeUpScheduler;
         driver = new ControllerDriver<>(
                 DnsControllerSettings.of(settings.memoryMb(), settings.grace()), settings.seed(), this);
     }
 
-    /** The handlers of each kind of message. */
+    /** The handlers of the kinds of message. */
     record Handlers(QueryHandler queries, UpdateHandler updates, TransferHandler transfers) {}
 
-    /** Messages that were submitted and not yet answered. */
+    /** Returns the number of submitted messages without a response. */
     int inFlight() {
         return inFlight;
     }
@@ -69,15 +69,15 @@
         return driver.controller().metrics();
     }
 
-    /** Sets the time of what happens next. */
+    /** Sets the current time for the following events. */
     void setTime(Duration time) {
         now = time;
     }
 
     /** Submits a message to the controller. */
     void submit(PendingMessage pending, Duration readDelay) {
-        if (++submittedSinceDecision > DnsControllerSettings.MAX_STARTS_PER_TURN) {
-            // A burst is started while it is read: what waits for the end of the batch would count as queued.
+        if (++submittedSinceDecision > DnsControllerSettings.MAX_STARTS_PER_DECISION) {
+            // Starts messages of a burst while reading; they would otherwise count as queued until the batch ends.
             decide(now);
         }
         needsDecision = true;
@@ -96,7 +96,7 @@
         pending.setHandle(driver.register(handle, pending));
     }
 
-    /** The connection of a message is closed: nobody waits for the response. */
+    /** Handles the disconnection of a client, which no longer needs the response. */
     void clientDisconnected(Duration at, PendingMessage pending) {
         if (pending.isAnswered()) {
             return;
@@ -105,14 +105,14 @@
         needsDecision = true;
         markAnswered(pending);
         pending.handle().callerGone(at);
-        abortUncalled(pending);
+        failBeforeCall(pending);
     }
 
     void wakeUp(Duration at) {
         now = at;
         needsDecision = true;
         driver.wakeUpFired();
-        // All that runs, runs to its end or to its call within a batch: nothing waits for a core between them.
+        // The run queue is empty: each started message runs to its end or to its call within a batch.
         driver.controller().updateGauges(at, new double[] {0});
     }
 
@@ -122,7 +122,7 @@
         driver.controller().startDrain(at, stop);
     }
 
-    /** Lets the controller decide until nothing has happened since. */
+    /** Lets the controller decide until its decisions cause no further events. */
     void decide(Duration at) {
         submittedSinceDecision = 0;
         while (needsDecision) {
@@ -132,8 +132,8 @@
         }
     }
 
-    /** A started message that has not made its call does not make it any more: nothing of it was done. */
-    private void abortUncalled(PendingMessage pending) {
+    /** Fails a started message that has not made its downstream call; such a message has had no effect. */
+    private void failBeforeCall(PendingMessage pending) {
         if (pending.isStarted() && !pending.isCalling() && pending.code().isEmpty()) {
             pending.decideCode(DynamicUpdate.SERVFAIL);
             needsDecision = true;
@@ -203,13 +203,13 @@
                 pending.handle().callEnded(now, Outcome.OK, duration);
                 complete(pending, code.getAsInt());
             } else {
-                failOnDisk(pending, duration);
+                failAfterDiskError(pending, duration);
             }
         });
     }
 
-    /** The update was removed from the journal: it was not applied and is not tried again. */
-    private void failOnDisk(PendingMessage pending, Duration duration) {
+    /** Fails an update that the journal removed after a disk error. The update has no effect and is not retried. */
+    private void failAfterDiskError(PendingMessage pending, Duration duration) {
         pending.decideCode(DynamicUpdate.SERVFAIL);
         pending.handle().callEnded(now, Outcome.REJECTED, duration);
         pending.handle().runEnded(now, Outcome.ERROR);
@@ -244,7 +244,7 @@
             return;
         }
         Duration calledAt = now;
-        transfers.send(pending.request(), pending.zone(), allWasSent -> {
+        transfers.send(pending.request(), pending.zone(), isComplete -> {
             pending.setCalling(false);
             needsDecision = true;
             if (!pending.isAnswered()) {
@@ -272,17 +272,17 @@
         if (!pending.isAnswered()) {
             metrics.failed(pending.kind());
             if (pending.kind() == MessageKind.TRANSFER && pending.isCalling()) {
-                // A part was sent; the end of the connection shows that no more follows.
+                // Part of the transfer was sent; closing the connection signals the failure.
                 answer(pending, null);
             } else {
                 answerWithCode(pending, DynamicUpdate.SERVFAIL);
             }
         }
-        abortUncalled(pending);
+        failBeforeCall(pending);
         forgetIfNotStarted(pending);
     }
 
-    /** Duplicates do not find a message that was never executed. */
+    /** Removes a message that was not started, which excludes it as the original of later duplicates. */
     private void forgetIfNotStarted(PendingMessage pending) {
         if (!pending.isStarted()) {
             updates.forget(pending);
@@ -330,6 +330,6 @@
 
     @Override
     public void scheduleWakeUp(Duration at) {
-        alarm.accept(at);
+        wakeUpScheduler.accept(at);
     }
 }
--- a/src/main/java/merlinlever/dns/server/MessageVerifier.java
+++ b/src/main/java/merlinlever/dns/server/MessageVerifier.java
@@ -7,21 +7,21 @@
 import merlinlever.dns.wire.DnsMessage;
 import merlinlever.dns.wire.Tsig;
 
-/** Parses messages and verifies their signatures; answers those that go no further. */
+/** Parses messages and verifies their signatures; answers or drops the messages that fail. */
 final class MessageVerifier {
 
     private final Tsig.TsigKeyRing keys;
     private final LongSupplier unixClock;
     private final ImmediateResponder responder;
 
-    /** @param unixClock in seconds */
+    /** @param unixClock returns Unix seconds */
     MessageVerifier(Tsig.TsigKeyRing keys, LongSupplier unixClock, ImmediateResponder responder) {
         this.keys = keys;
         this.unixClock = unixClock;
         this.responder = responder;
     }
 
-    /** The request of a message; empty where it was answered or dropped. */
+    /** Returns the verified request, or empty if the message was answered or dropped. */
     Optional<DnsRequest> verify(byte[] octets, ReplyChannel replyChannel) {
         if (responder.isDropped(octets)) {
             return Optional.empty();
@@ -42,7 +42,7 @@
         }
         DnsMessage.Edns edns = request.message().edns();
         if (edns != null && edns.version() > 0) {
-            responder.answerUnknownEdns(request);
+            responder.answerUnsupportedEdns(request);
             return Optional.empty();
         }
         return Optional.of(request);
--- a/src/main/java/merlinlever/dns/server/NotifySender.java
+++ b/src/main/java/merlinlever/dns/server/NotifySender.java
@@ -16,17 +16,17 @@
 import merlinlever.dns.wire.MessageWriter;
 import merlinlever.dns.wire.Opcode;
 
-/** Notifies secondary servers of each new version until they acknowledge it (RFC 1996 section 3). */
+/** Notifies secondary servers of new zone versions, and retries until they acknowledge (RFC 1996 section 3). */
 public final class NotifySender {
 
     private static final Duration FIRST_RETRY_DELAY = Duration.ofSeconds(1);
     private static final int MAX_ATTEMPTS = 6;
     private static final int MESSAGE_IDS = 0x10000;
     private static final byte[] IPV4_WILDCARD = {0, 0, 0, 0};
-    /** Versions published within this time are notified once. */
+    /** Versions published within this period share one notification. */
     private static final Duration COALESCE_DELAY = Duration.ofMillis(100);
 
-    /** A zone's notification of one server. */
+    /** The pending notification of one server about one zone. */
     private static final class PendingNotify {
         private int id;
         private EventLoop.Timer retry;
@@ -40,27 +40,27 @@
     private final Map<NotifyTarget, PendingNotify> pending = new HashMap<>();
     private DatagramEndpoint datagrams;
 
-    /** A sender whose message ids are drawn from the seed. */
+    /** Creates a sender that generates message ids from the seed. */
     public NotifySender(EventLoop loop, long seed) {
         this.loop = loop;
         random = new SplittableRandom(seed);
     }
 
-    /** Notifies the servers of the zone's published version. */
+    /** Notifies the servers that the zone has a new published version. */
     public void notifyOfChange(ServedZone zone, List<InetSocketAddress> servers) {
         for (InetSocketAddress server : servers) {
-            PendingNotify one =
-                    pending.computeIfAbsent(new NotifyTarget(zone.name(), server), whom -> new PendingNotify());
-            if (one.retry == null) {
-                one.id = random.nextInt(MESSAGE_IDS);
-                one.retry = loop.schedule(COALESCE_DELAY, () -> send(zone, server, one, 0));
+            PendingNotify notify =
+                    pending.computeIfAbsent(new NotifyTarget(zone.name(), server), target -> new PendingNotify());
+            if (notify.retry == null) {
+                notify.id = random.nextInt(MESSAGE_IDS);
+                notify.retry = loop.schedule(COALESCE_DELAY, () -> send(zone, server, notify, 0));
             } else {
-                one.hasNewerVersion = true;
+                notify.hasNewerVersion = true;
             }
         }
     }
 
-    private void send(ServedZone zone, InetSocketAddress server, PendingNotify one, int tries) {
+    private void send(ServedZone zone, InetSocketAddress server, PendingNotify notify, int attempts) {
         try {
             if (datagrams == null) {
                 datagrams = new DatagramEndpoint(
@@ -70,11 +70,11 @@
                         this::receive);
             }
         } catch (IOException e) {
-            // Retried like a notification that was lost.
+            // The retry timer covers this failure like a lost notification.
         }
         if (datagrams != null) {
             MessageWriter out = new MessageWriter(
-                    one.id, Opcode.NOTIFY.flags() | DnsMessage.AUTHORITATIVE, DnsMessage.MAX_PLAIN_DATAGRAM_BYTES);
+                    notify.id, Opcode.NOTIFY.flags() | DnsMessage.AUTHORITATIVE, DnsMessage.MAX_PLAIN_DATAGRAM_BYTES);
             out.question(zone.origin(), RecordTypes.SOA, RecordTypes.IN);
             out.record(
                     MessageSection.ANSWER,
@@ -85,26 +85,26 @@
                     zone.zone().soa().data(0));
             datagrams.send(out.toBytes(), server);
         }
-        one.hasNewerVersion = false;
-        if (tries + 1 < MAX_ATTEMPTS) {
-            one.retry = loop.schedule(
-                    FIRST_RETRY_DELAY.multipliedBy(1L << tries), () -> send(zone, server, one, tries + 1));
+        notify.hasNewerVersion = false;
+        if (attempts + 1 < MAX_ATTEMPTS) {
+            notify.retry = loop.schedule(
+                    FIRST_RETRY_DELAY.multipliedBy(1L << attempts), () -> send(zone, server, notify, attempts + 1));
         } else {
-            one.retry = null;
+            notify.retry = null;
         }
     }
 
-    private void receive(byte[] octets, InetSocketAddress from, Duration waited) {
+    private void receive(byte[] octets, InetSocketAddress from, Duration readDelay) {
         if (DnsMessage.id(octets) < 0 || (DnsMessage.flags(octets) & DnsMessage.RESPONSE) == 0) {
             return;
         }
-        pending.forEach((whom, one) -> {
-            if (whom.server.equals(from)
-                    && one.id == DnsMessage.id(octets)
-                    && one.retry != null
-                    && !one.hasNewerVersion) {
-                one.retry.cancel();
-                one.retry = null;
+        pending.forEach((target, notify) -> {
+            if (target.server.equals(from)
+                    && notify.id == DnsMessage.id(octets)
+                    && notify.retry != null
+                    && !notify.hasNewerVersion) {
+                notify.retry.cancel();
+                notify.retry = null;
             }
         });
     }
--- a/src/main/java/merlinlever/dns/server/PendingMessage.java
+++ b/src/main/java/merlinlever/dns/server/PendingMessage.java
@@ -7,10 +7,10 @@
 import merlinlever.controller.RequestHandle;
 import merlinlever.driver.ControllerDriver;
 
-/** A message that was submitted to the overload controller, until the controller releases it. Used on the event loop. */
+/** A message that the overload controller manages, from submission to release. Used on the event loop. */
 final class PendingMessage {
 
-    /** The kinds of message; each is a priority class of the controller, in this order. */
+    /** Kinds of message. The ordinal of a kind is the index of its priority class. */
     enum MessageKind implements WireNamed {
         QUERY("query"),
         UPDATE("update"),
@@ -54,9 +54,9 @@
     }
 
     /**
-     * An update.
+     * Creates a pending update.
      *
-     * @param original the pending message that it duplicates, or null
+     * @param original the pending update that the message duplicates, or null
      */
     static PendingMessage ofUpdate(
             ServedZone zone, DnsRequest request, ByteArrayKey replayKey, PendingMessage original) {
@@ -71,22 +71,22 @@
         return zone;
     }
 
-    /** What duplicates of an update have in common; null for other kinds. */
+    /** Returns the key that identifies duplicates of an update; null for other kinds. */
     ByteArrayKey replayKey() {
         return replayKey;
     }
 
-    /** The message that this one duplicates, or null. */
+    /** Returns the message that this message duplicates, or null. */
     PendingMessage original() {
         return original;
     }
 
-    /** Null once the message is not needed any more. */
+    /** Returns the request, or null after {@link #releaseRequest}. */
     DnsRequest request() {
         return request;
     }
 
-    /** The message is not needed any more; what remains is the outcome. */
+    /** Releases the memory of the request; only the outcome is kept. */
     void releaseRequest() {
         request = null;
     }
@@ -99,7 +99,7 @@
         handle = registered;
     }
 
-    /** Whether it was answered, or nobody waits for the response. */
+    /** Whether the message was answered, or its client has disconnected. */
     boolean isAnswered() {
         return isAnswered;
     }
@@ -116,7 +116,7 @@
         isStarted = true;
     }
 
-    /** Whether an update is on its way to the disk, or a transfer to its reader. */
+    /** Whether the downstream call is in progress: the disk write of an update, or the sending of a transfer. */
     boolean isCalling() {
         return isCalling;
     }
@@ -125,7 +125,7 @@
         isCalling = calling;
     }
 
-    /** The response code; empty while it is not decided. */
+    /** Returns the response code, or empty if it is undecided. */
     OptionalInt code() {
         return code;
     }
@@ -141,7 +141,7 @@
         duplicates.add(other);
     }
 
-    /** The duplicates that wait for the outcome; none wait afterwards. */
+    /** Removes and returns the duplicates that wait for the outcome. */
     List<PendingMessage> takeDuplicates() {
         List<PendingMessage> taken = duplicates;
         duplicates = List.of();
--- a/src/main/java/merlinlever/dns/server/QueryHandler.java
+++ b/src/main/java/merlinlever/dns/server/QueryHandler.java
@@ -14,25 +14,25 @@
     private final ResponseBuilder responses;
     private final ZoneServerMetrics metrics;
     private final TransferHandler transfers;
-    private final boolean queriesDecided;
+    private final boolean controlsQueries;
 
-    /** @param queriesDecided whether the overload controller admits queries; if not, they are answered at once */
+    /** @param controlsQueries whether queries are subject to admission by the overload controller */
     QueryHandler(
             ZoneCatalog zones,
             ImmediateResponder responder,
             ResponseBuilder responses,
             ZoneServerMetrics metrics,
             TransferHandler transfers,
-            boolean queriesDecided) {
+            boolean controlsQueries) {
         this.zones = zones;
         this.responder = responder;
         this.responses = responses;
         this.metrics = metrics;
         this.transfers = transfers;
-        this.queriesDecided = queriesDecided;
+        this.controlsQueries = controlsQueries;
     }
 
-    /** The query or zone transfer to submit to the controller; empty where it was answered. */
+    /** Returns the query or zone transfer to submit to the controller, or empty if the request was answered. */
     Optional<PendingMessage> prepare(DnsRequest request) {
         DnsMessage message = request.message();
         if (!message.hasQuestion() || message.isTruncated()) {
@@ -52,7 +52,7 @@
             responder.answer(request, DynamicUpdate.NOTIMP);
             return Optional.empty();
         }
-        if (!queriesDecided) {
+        if (!controlsQueries) {
             request.replyChannel().answer(response(request, zone));
             metrics.served(PendingMessage.MessageKind.QUERY);
             return Optional.empty();
@@ -60,7 +60,7 @@
         return Optional.of(new PendingMessage(PendingMessage.MessageKind.QUERY, zone, request));
     }
 
-    /** The response to a query. */
+    /** Builds the response to a query. */
     byte[] response(DnsRequest request, ServedZone zone) {
         DnsMessage message = request.message();
         Lookup.Answer found = Lookup.find(zone.zone(), message.name(), message.type());
--- a/src/main/java/merlinlever/dns/server/ReplyChannel.java
+++ b/src/main/java/merlinlever/dns/server/ReplyChannel.java
@@ -5,12 +5,12 @@
 /** Sends the response to one message. */
 public interface ReplyChannel {
 
-    /** Whether the response is one datagram. */
+    /** Whether the response is sent as a datagram. */
     boolean isDatagram();
 
-    /** Sends the one response; null ends the connection without it. */
+    /** Sends the response; null closes the connection without a response. */
     void answer(byte[] octets);
 
-    /** Sends a transfer message by message as there is room; {@code done} is told whether all were sent. */
-    void answer(ZoneTransfer transfer, Consumer<Boolean> done);
+    /** Sends the messages of a transfer as the send buffer permits; {@code onEnded} receives whether all were sent. */
+    void answer(ZoneTransfer transfer, Consumer<Boolean> onEnded);
 }
--- a/src/main/java/merlinlever/dns/server/RequestProcessor.java
+++ b/src/main/java/merlinlever/dns/server/RequestProcessor.java
@@ -11,29 +11,30 @@
 import merlinlever.policy.ControllerMetrics;
 
 /**
- * Dispatches each message: verified by {@link MessageVerifier}, checked by the handler of its kind, then submitted to the
- * overload controller by {@link MessageLifecycle}. Used on the event loop; does no input or output of its own.
+ * Dispatches each message: {@link MessageVerifier} verifies the message, the handler of its kind checks the request,
+ * and {@link MessageLifecycle} submits it to the overload controller. Used on the event loop; performs no I/O itself.
  */
 public final class RequestProcessor {
 
     /**
-     * Settings of the server that the overload controller needs.
+     * Settings of the request processing.
      *
-     * @param memoryMb that messages in flight and remembered updates may take, in MiB
-     * @param grace after the start of a drain in which new messages are still admitted
-     * @param queriesDecided whether the controller admits queries; if not, they are answered at once
-     * @param seed of the controller's random numbers
+     * @param memoryMb the memory limit for messages in flight and remembered updates, in MiB
+     * @param grace the period after the start of a drain in which new messages are still admitted
+     * @param controlsQueries whether queries are subject to admission by the controller
+     * @param seed the seed of the controller's random numbers
      */
-    public record ProcessorSettings(double memoryMb, Duration grace, boolean queriesDecided, long seed) {}
+    public record ProcessorSettings(double memoryMb, Duration grace, boolean controlsQueries, long seed) {}
 
     /**
-     * What the server is authoritative for.
+     * The served zones and the accepted keys.
      *
-     * @param keys whose signatures are accepted
+     * @param zones the zones that the server is authoritative for
+     * @param keys the keys whose signatures are accepted
      */
     public record ZonesAndKeys(List<ServedZone> zones, Tsig.TsigKeyRing keys) {}
 
-    /** For how long a signed message can be replayed: the TSIG fudge on either side of its time (RFC 8945). */
+    /** Period in which a signed message can be replayed: the TSIG fudge on both sides of its time (RFC 8945). */
     public static final Duration REPLAY_WINDOW = Duration.ofSeconds(2L * Tsig.FUDGE);
 
     private final ImmediateResponder responder;
@@ -43,35 +44,35 @@
     private final MessageLifecycle lifecycle;
 
     /**
-     * A processor for the zones.
+     * Creates a processor for the zones.
      *
-     * @param unixClock in seconds
-     * @param alarm is told when {@link #wakeUp} is to be called
+     * @param unixClock returns Unix seconds
+     * @param wakeUpScheduler receives the time at which {@link #wakeUp} is to be called
      */
     public RequestProcessor(
             ZonesAndKeys zonesAndKeys,
             ProcessorSettings settings,
             LongSupplier unixClock,
             EventLog log,
-            Consumer<Duration> alarm,
+            Consumer<Duration> wakeUpScheduler,
             ZoneServerMetrics metrics) {
         ZoneCatalog zones = new ZoneCatalog(zonesAndKeys.zones);
         ResponseBuilder responses = new ResponseBuilder(unixClock);
         responder = new ImmediateResponder(responses, metrics);
         verifier = new MessageVerifier(zonesAndKeys.keys, unixClock, responder);
         TransferHandler transfers = new TransferHandler(responder, unixClock);
-        queries = new QueryHandler(zones, responder, responses, metrics, transfers, settings.queriesDecided);
+        queries = new QueryHandler(zones, responder, responses, metrics, transfers, settings.controlsQueries);
         updates = new UpdateHandler(zones, responder, unixClock);
         MessageLifecycle.Handlers handlers = new MessageLifecycle.Handlers(queries, updates, transfers);
-        lifecycle = new MessageLifecycle(settings, handlers, responses, metrics, log, alarm);
+        lifecycle = new MessageLifecycle(settings, handlers, responses, metrics, log, wakeUpScheduler);
     }
 
-    /** Messages that were submitted to the controller and not yet answered. */
+    /** Returns the number of messages that were submitted to the controller and have no response yet. */
     public int inFlight() {
         return lifecycle.inFlight();
     }
 
-    /** The metrics of the overload controller. */
+    /** Returns the metrics of the overload controller. */
     public ControllerMetrics controllerMetrics() {
         return lifecycle.controllerMetrics();
     }
@@ -79,8 +80,8 @@
     /**
      * Processes one message.
      *
-     * @param readDelay for which it waited to be read
-     * @return the message while it is pending; null where it was answered or dropped
+     * @param readDelay the time that the message waited to be read
+     * @return the pending message, or null if the message was answered at once or dropped
      */
     PendingMessage receive(Duration at, byte[] octets, Duration readDelay, ReplyChannel replyChannel) {
         lifecycle.setTime(at);
@@ -93,7 +94,7 @@
         return switch (request.message().opcode()) {
             case QUERY -> queries.prepare(request);
             case UPDATE -> updates.prepare(request);
-                // This server has no primary that could notify it.
+                // The server is never a secondary, hence no primary notifies it.
             case NOTIFY -> refuse(request, DynamicUpdate.REFUSED);
             default -> refuse(request, DynamicUpdate.NOTIMP);
         };
@@ -104,22 +105,22 @@
         return Optional.empty();
     }
 
-    /** The connection of a pending message is closed. */
+    /** Handles the disconnection of the client of a pending message. */
     void clientDisconnected(Duration at, PendingMessage pending) {
         lifecycle.clientDisconnected(at, pending);
     }
 
-    /** The time of the alarm has come. */
+    /** Runs the scheduled wake-up of the controller. */
     public void wakeUp(Duration at) {
         lifecycle.wakeUp(at);
     }
 
-    /** Starts the drain; the process stops after {@code stop}, a time since start. */
+    /** Starts the drain; the process stops at {@code stop}. */
     public void startDrain(Duration at, Duration stop) {
         lifecycle.startDrain(at, stop);
     }
 
-    /** Lets the controller decide; to be called after each batch of events. */
+    /** Lets the controller decide; called after each batch of events. */
     public void decide(Duration at) {
         lifecycle.decide(at);
     }
--- a/src/main/java/merlinlever/dns/server/ResponseBuilder.java
+++ b/src/main/java/merlinlever/dns/server/ResponseBuilder.java
@@ -15,31 +15,31 @@
 import merlinlever.dns.wire.Opcode;
 import merlinlever.dns.wire.Tsig;
 
-/** Builds responses: sections, EDNS, truncation, signatures. Decides nothing. */
+/** Builds responses with their sections, EDNS fields, truncation and signatures. */
 final class ResponseBuilder {
 
-    /** Octets of a datagram that is not fragmented on usual paths; stated in EDNS and kept to (RFC 9715 section 3). */
+    /** Maximum size in octets of a datagram; avoids fragmentation on common paths (RFC 9715 section 3). */
     static final int MAX_DATAGRAM_BYTES = 1232;
 
-    /** The extended response code for a version of EDNS that is not supported (RFC 6891 section 9). */
+    /** Extended response code for an unsupported EDNS version (RFC 6891 section 9). */
     private static final int BADVERS = 16;
 
-    /** The EDNS option for an extended error (RFC 8914 section 2). */
+    /** EDNS option code of an extended error (RFC 8914 section 2). */
     private static final int EXTENDED_ERROR_OPTION = 15;
 
-    /** The extended error Not Ready (RFC 8914 section 4.15). */
+    /** Extended error code Not Ready (RFC 8914 section 4.15). */
     private static final int NOT_READY = 14;
 
-    /** Octets of the option beside its text: code, length, error. */
+    /** Size in octets of the fixed fields of the option: option code, length and error code. */
     private static final int EXTENDED_ERROR_FIXED_BYTES = 3 * Short.BYTES;
 
-    /** Flags that a response repeats from its request. */
+    /** Header bits that a response copies from its request. */
     private static final int REPEATED_FLAGS = Opcode.FLAGS_MASK | DnsMessage.RECURSION_DESIRED;
 
-    /** Octets of an OPT record without options: the root as its owner, and the fixed fields. */
+    /** Size in octets of an OPT record without options: the root name and the fixed fields. */
     private static final int EDNS_BYTES = 1 + DnsMessage.RECORD_FIXED_BYTES;
 
-    /** Octets of a record beside its data whose owner is compressed to a pointer. */
+    /** Size in octets of a record without its data, with the owner compressed to a pointer. */
     private static final int COMPRESSED_RECORD_BYTES = 2 + DnsMessage.RECORD_FIXED_BYTES;
 
     private final LongSupplier unixClock;
@@ -48,7 +48,7 @@
         this.unixClock = unixClock;
     }
 
-    /** The response to what cannot be parsed, with the id alone. */
+    /** Builds the response to a message that cannot be parsed, which consists of a header only. */
     static byte[] malformed(byte[] octets) {
         return new MessageWriter(
                         DnsMessage.id(octets),
@@ -57,7 +57,7 @@
                 .toBytes();
     }
 
-    /** A response code without records. */
+    /** Builds a response with a response code and no records. */
     byte[] withCode(DnsMessage request, Tsig.Verification verification, int code) {
         return signed(
                 request,
@@ -65,7 +65,7 @@
                 head(request, code, maxLength(verification), code, null).toBytes());
     }
 
-    /** The response to a rejected request; the time to retry after goes into an extended error where EDNS is used. */
+    /** Builds the response to a rejected request; with EDNS, an extended error states the retry delay. */
     byte[] rejection(DnsMessage request, Tsig.Verification verification, Duration retryAfter) {
         byte[] options = retryAfter.isZero()
                 ? null
@@ -86,8 +86,8 @@
         return option.put(text).array();
     }
 
-    /** The response to a version of EDNS that is not supported. */
-    byte[] unknownEdns(DnsMessage request, Tsig.Verification verification) {
+    /** Builds the response to a request whose EDNS version is not supported. */
+    byte[] unsupportedEdns(DnsMessage request, Tsig.Verification verification) {
         return signed(
                 request,
                 verification,
@@ -129,14 +129,14 @@
         };
     }
 
-    /** The response to a query, truncated where it does not fit a datagram. */
-    byte[] answer(DnsMessage request, Tsig.Verification verification, Lookup.Answer answer, boolean datagram) {
+    /** Builds the response to a query, truncated if the response does not fit a datagram. */
+    byte[] answer(DnsMessage request, Tsig.Verification verification, Lookup.Answer answer, boolean isDatagram) {
         int maxBytes = DnsMessage.MAX_BYTES;
-        if (datagram) {
-            int theirs = request.edns() == null
+        if (isDatagram) {
+            int clientMaxBytes = request.edns() == null
                     ? DnsMessage.MAX_PLAIN_DATAGRAM_BYTES
                     : request.edns().maxDatagramBytes();
-            maxBytes = Math.max(DnsMessage.MAX_PLAIN_DATAGRAM_BYTES, Math.min(theirs, MAX_DATAGRAM_BYTES));
+            maxBytes = Math.max(DnsMessage.MAX_PLAIN_DATAGRAM_BYTES, Math.min(clientMaxBytes, MAX_DATAGRAM_BYTES));
         }
         maxBytes -= verification == null ? 0 : Tsig.maxSignatureBytes(verification.key());
         MessageWriter out = new MessageWriter(
@@ -149,14 +149,14 @@
         out.question(request.name(), request.type(), request.dclass());
         int questionEnd = out.length();
         int reserved = request.edns() == null ? 0 : EDNS_BYTES;
-        boolean whole = section(out, MessageSection.ANSWER, answer.answer, maxBytes - reserved, request.id())
-                && section(out, MessageSection.AUTHORITY, answer.authority, maxBytes - reserved, request.id());
-        if (!whole) {
+        boolean isComplete = appendSection(out, MessageSection.ANSWER, answer.answer, maxBytes - reserved, request.id())
+                && appendSection(out, MessageSection.AUTHORITY, answer.authority, maxBytes - reserved, request.id());
+        if (!isComplete) {
             out.truncateToQuestion(questionEnd);
             out.setFlag(DnsMessage.TRUNCATED);
         } else {
-            // What does not fit here is only a help.
-            section(out, MessageSection.ADDITIONAL, answer.additional, maxBytes - reserved, request.id());
+            // Additional records are optional; those that do not fit are omitted.
+            appendSection(out, MessageSection.ADDITIONAL, answer.additional, maxBytes - reserved, request.id());
         }
         if (request.edns() != null) {
             out.edns(MAX_DATAGRAM_BYTES, 0, null);
@@ -164,16 +164,16 @@
         return signed(request, verification, out.toBytes());
     }
 
-    /** Appends sets, each rotated by {@code turn}, so that clients that take the first record spread (RFC 1794). */
-    private static boolean section(
-            MessageWriter out, MessageSection section, List<Lookup.AnswerSet> sets, int maxBytes, int turn) {
-        for (Lookup.AnswerSet shown : sets) {
-            RecordSet set = shown.set();
+    /** Appends record sets, each rotated by {@code rotation}, which spreads clients over the records (RFC 1794). */
+    private static boolean appendSection(
+            MessageWriter out, MessageSection section, List<Lookup.AnswerSet> sets, int maxBytes, int rotation) {
+        for (Lookup.AnswerSet answerSet : sets) {
+            RecordSet set = answerSet.set();
             for (int i = 0; i < set.size(); i++) {
-                byte[] data = set.data((i + turn) % set.size());
-                if ((out.length() + shown.owner().length + DnsMessage.RECORD_FIXED_BYTES + data.length > maxBytes
+                byte[] data = set.data((i + rotation) % set.size());
+                if ((out.length() + answerSet.owner().length + DnsMessage.RECORD_FIXED_BYTES + data.length > maxBytes
                                 && out.length() + COMPRESSED_RECORD_BYTES + data.length > maxBytes)
-                        || !out.record(section, shown.owner(), set.type(), RecordTypes.IN, shown.ttl(), data)) {
+                        || !out.record(section, answerSet.owner(), set.type(), RecordTypes.IN, answerSet.ttl(), data)) {
                     return false;
                 }
             }
--- a/src/main/java/merlinlever/dns/server/ServedZone.java
+++ b/src/main/java/merlinlever/dns/server/ServedZone.java
@@ -16,14 +16,14 @@
 import merlinlever.dns.state.Zone;
 
 /**
- * One zone in service. Queries see the published version, which is on the disk; an update is decided on the staged version,
- * whose writes may be in flight, and versions are published in order as their writes complete. Used on the event loop.
+ * A served zone. Queries read the published version, which is on the disk. Updates apply to the staged version, whose
+ * disk writes may be in flight. Versions are published in order as their writes complete. Used on the event loop.
  */
 public final class ServedZone {
 
-    /** Is told of each new version. */
+    /** Receives an event for each new version. */
     public interface VersionListener {
-        /** Queries see a new version of the zone. */
+        /** Called after a new version of the zone was published. */
         void versionPublished(ServedZone zone);
     }
 
@@ -38,16 +38,16 @@
     private Zone published;
     private Zone staged;
     private int writesInFlight;
-    /** Run after the newest write in flight; null where none is. */
-    private List<Runnable> waitingForNewestWrite;
+    /** Tasks to run after the newest write in flight; null if no write is in flight. */
+    private List<Runnable> afterNewestWrite;
 
     private boolean lastWriteSucceeded;
 
     /**
-     * A zone in service.
+     * Creates a served zone.
      *
-     * @param updaters names of the keys that may update it, as text
-     * @param transferers names of the keys that may transfer it, as text
+     * @param updaters names of the keys that may update the zone, as text
+     * @param transferers names of the keys that may transfer the zone, as text
      */
     public ServedZone(Zone zone, Set<String> updaters, Set<String> transferers, ZoneStore store, ReplayWindow replays) {
         this.origin = zone.origin();
@@ -60,27 +60,27 @@
         staged = zone;
     }
 
-    /** The name of its apex, on the wire. */
+    /** Returns the name of the zone apex on the wire. */
     public byte[] origin() {
         return origin;
     }
 
-    /** The name of its apex, as text. */
+    /** Returns the name of the zone apex as text. */
     public String name() {
         return name;
     }
 
-    /** The published version. */
+    /** Returns the published version. */
     public Zone zone() {
         return published;
     }
 
-    /** The differences between the last versions. */
+    /** Returns the differences between recent versions. */
     public DifferenceHistory history() {
         return history;
     }
 
-    /** The keys of updates that could be replayed. */
+    /** Returns the replay keys of recent updates. */
     public ReplayWindow replays() {
         return replays;
     }
@@ -97,17 +97,17 @@
         return !updaters.isEmpty();
     }
 
-    /** Tells the listener of each new version from now on. */
-    public void addListener(VersionListener watcher) {
-        listeners.add(watcher);
+    /** Adds a listener for new versions. */
+    public void addListener(VersionListener listener) {
+        listeners.add(listener);
     }
 
     /**
-     * Decides an update.
+     * Applies an update.
      *
-     * @param unixSeconds when it came
-     * @param replayKey that its duplicates are known by
-     * @param done gets the response code at once or when the update is on the disk; nothing where the disk failed
+     * @param unixSeconds the time of receipt
+     * @param replayKey the key that identifies duplicates of the update
+     * @param done receives the response code, after the disk write if one is needed; empty if the write failed
      */
     void update(
             long unixSeconds,
@@ -115,21 +115,21 @@
             List<UpdateEntry> prerequisites,
             List<UpdateEntry> changes,
             Consumer<OptionalInt> done) {
-        DynamicUpdate.UpdateResult outcome = DynamicUpdate.apply(staged, prerequisites, changes);
-        if (outcome.difference() == null) {
-            if (waitingForNewestWrite == null) {
-                done.accept(OptionalInt.of(outcome.code()));
+        DynamicUpdate.UpdateResult result = DynamicUpdate.apply(staged, prerequisites, changes);
+        if (result.difference() == null) {
+            if (afterNewestWrite == null) {
+                done.accept(OptionalInt.of(result.code()));
             } else {
-                // It was decided on a version that is not on the disk yet, and fails if that write fails.
-                waitingForNewestWrite.add(() -> done.accept(codeIf(lastWriteSucceeded, outcome.code())));
+                // The result depends on a version whose write is in flight, and fails with that write.
+                afterNewestWrite.add(() -> done.accept(codeIf(lastWriteSucceeded, result.code())));
             }
             return;
         }
         write(
                 unixSeconds,
                 replayKey,
-                outcome.zone(),
-                outcome.difference(),
+                result.zone(),
+                result.difference(),
                 succeeded -> done.accept(codeIf(succeeded, DynamicUpdate.NOERROR)));
     }
 
@@ -137,56 +137,57 @@
         return written ? OptionalInt.of(code) : OptionalInt.empty();
     }
 
-    private void write(long at, byte[] mark, Zone made, Difference difference, Consumer<Boolean> done) {
-        staged = made;
+    private void write(
+            long unixSeconds, byte[] replayKey, Zone newVersion, Difference difference, Consumer<Boolean> done) {
+        staged = newVersion;
         writesInFlight++;
-        List<Runnable> behind = new ArrayList<>(0);
-        waitingForNewestWrite = behind;
-        store.append(at, mark, difference, well -> {
+        List<Runnable> afterThisWrite = new ArrayList<>(0);
+        afterNewestWrite = afterThisWrite;
+        store.append(unixSeconds, replayKey, difference, succeeded -> {
             writesInFlight--;
-            lastWriteSucceeded = well;
-            if (well) {
-                published = made;
+            lastWriteSucceeded = succeeded;
+            if (succeeded) {
+                published = newVersion;
                 history.add(difference);
-                if (mark.length > 0) {
-                    replays.add(at, mark);
+                if (replayKey.length > 0) {
+                    replays.add(unixSeconds, replayKey);
                 }
             } else if (writesInFlight == 0) {
                 staged = published;
             }
-            if (waitingForNewestWrite == behind) {
-                waitingForNewestWrite = null;
+            if (afterNewestWrite == afterThisWrite) {
+                afterNewestWrite = null;
             }
-            done.accept(well);
-            behind.forEach(Runnable::run);
-            if (well) {
-                listeners.forEach(watcher -> watcher.versionPublished(this));
+            done.accept(succeeded);
+            afterThisWrite.forEach(Runnable::run);
+            if (succeeded) {
+                listeners.forEach(listener -> listener.versionPublished(this));
                 if (store.isSnapshotDue()) {
-                    store.snapshot(published, at);
+                    store.snapshot(published, unixSeconds);
                 }
             }
         });
     }
 
     /**
-     * Replaces the zone by the reloaded zone file if its serial is newer.
+     * Replaces the zone with the reloaded zone file if the serial of the file is newer.
      *
-     * @param at Unix seconds
-     * @return a log line about it
+     * @param unixSeconds the current time
+     * @return a log line that describes the result
      */
-    public String reload(Zone file, long at) {
+    public String reload(Zone file, long unixSeconds) {
         Difference difference = Difference.between(staged, file);
         if (difference.records() == 2 && difference.from() == difference.to()) {
-            return name + ": the file says what is served, serial " + difference.to();
+            return name + ": zone file is identical to the served zone, serial " + difference.to();
         }
         if (!SerialNumbers.after(difference.to(), difference.from())) {
-            return name + ": the file is not taken over: its serial " + difference.to() + " does not come after "
-                    + difference.from() + ", which is served";
+            return name + ": zone file ignored: its serial " + difference.to() + " is not newer than the served serial "
+                    + difference.from();
         }
-        write(at, new byte[0], file, difference, well -> {});
-        return name + ": taken from the file: serial " + difference.to() + ", "
-                + (difference.removed().size() - 1) + " records out, "
-                + (difference.added().size() - 1) + " in";
+        write(unixSeconds, new byte[0], file, difference, succeeded -> {});
+        return name + ": zone file loaded: serial " + difference.to() + ", "
+                + (difference.removed().size() - 1) + " records removed, "
+                + (difference.added().size() - 1) + " added";
     }
 
     /** Whether no write is in flight. */
--- a/src/main/java/merlinlever/dns/server/TransferHandler.java
+++ b/src/main/java/merlinlever/dns/server/TransferHandler.java
@@ -13,19 +13,19 @@
 import merlinlever.dns.state.Zone;
 import merlinlever.dns.wire.DnsMessage;
 
-/** Checks zone transfers and sends them, whole (AXFR, RFC 5936) or as differences (IXFR, RFC 1995). */
+/** Checks and sends zone transfers, either full (AXFR, RFC 5936) or incremental (IXFR, RFC 1995). */
 final class TransferHandler {
 
     private final ImmediateResponder responder;
     private final LongSupplier unixClock;
 
-    /** @param unixClock in seconds */
+    /** @param unixClock returns Unix seconds */
     TransferHandler(ImmediateResponder responder, LongSupplier unixClock) {
         this.responder = responder;
         this.unixClock = unixClock;
     }
 
-    /** The transfer to submit to the controller; empty where it was answered. The zone may be null. */
+    /** Returns the transfer to submit to the controller, or empty if the request was answered. The zone may be null. */
     Optional<PendingMessage> prepare(DnsRequest request, ServedZone zone) {
         if (zone == null || !Arrays.equals(zone.origin(), request.message().name())) {
             responder.answer(request, DynamicUpdate.NOTAUTH);
@@ -42,7 +42,7 @@
         return Optional.of(new PendingMessage(PendingMessage.MessageKind.TRANSFER, zone, request));
     }
 
-    /** AXFR needs a connection; IXFR states the requester's version in one SOA record. */
+    /** Checks that AXFR uses a connection, and that IXFR has one SOA record with the requester's version. */
     private static boolean isWellFormed(DnsRequest request) {
         if (request.message().type() == RecordTypes.AXFR) {
             return !request.replyChannel().isDatagram();
@@ -51,12 +51,12 @@
         return authority.size() == 1 && authority.get(0).type() == RecordTypes.SOA;
     }
 
-    /** Sends the transfer; {@code done} is told whether all of it was sent. */
-    void send(DnsRequest request, ServedZone zone, Consumer<Boolean> done) {
+    /** Sends the transfer; {@code onEnded} receives whether the whole transfer was sent. */
+    void send(DnsRequest request, ServedZone zone, Consumer<Boolean> onEnded) {
         ZoneTransfer transfer = request.message().type() == RecordTypes.IXFR
                 ? incremental(request, zone)
                 : ZoneTransfer.full(request.message(), request.verification(), unixClock, zone.zone());
-        request.replyChannel().answer(transfer, done);
+        request.replyChannel().answer(transfer, onEnded);
     }
 
     private ZoneTransfer incremental(DnsRequest request, ServedZone served) {
@@ -66,17 +66,17 @@
         boolean isBehind = SerialNumbers.after(zone.serial(), requesterSerial);
         List<Difference> differences = isBehind ? served.history().since(requesterSerial) : List.of();
         if (request.replyChannel().isDatagram() && (differences == null || !differences.isEmpty())) {
-            // A datagram holds the newest SOA alone; the requester comes again over a connection (RFC 1995 section 2).
+            // A datagram holds only the newest SOA; the requester retries over a connection (RFC 1995 section 2).
             differences = List.of();
         }
-        if (differences == null || (!differences.isEmpty() && records(differences) > zone.records() + 2)) {
-            // The history does not reach back so far, or is longer than the zone.
+        if (differences == null || (!differences.isEmpty() && countRecords(differences) > zone.records() + 2)) {
+            // The history lacks the requester's version, or exceeds the size of the zone.
             return ZoneTransfer.full(message, request.verification(), unixClock, zone);
         }
         return ZoneTransfer.incremental(message, request.verification(), unixClock, zone, differences);
     }
 
-    private static int records(List<Difference> differences) {
+    private static int countRecords(List<Difference> differences) {
         return differences.stream().mapToInt(Difference::records).sum();
     }
 }
--- a/src/main/java/merlinlever/dns/server/UpdateHandler.java
+++ b/src/main/java/merlinlever/dns/server/UpdateHandler.java
@@ -13,7 +13,7 @@
 import merlinlever.dns.state.DynamicUpdate;
 import merlinlever.dns.wire.DnsMessage;
 
-/** Checks dynamic updates (RFC 2136), recognises duplicates of one message, and applies updates to their zone. */
+/** Checks dynamic updates (RFC 2136), detects duplicate messages, and applies updates to their zones. */
 final class UpdateHandler {
 
     private static final String REPLAY_KEY_DIGEST = "SHA-256";
@@ -24,14 +24,14 @@
     private final LongSupplier unixClock;
     private final Map<ByteArrayKey, PendingMessage> pendingByReplayKey = new HashMap<>();
 
-    /** @param unixClock in seconds */
+    /** @param unixClock returns Unix seconds */
     UpdateHandler(ZoneCatalog zones, ImmediateResponder responder, LongSupplier unixClock) {
         this.zones = zones;
         this.responder = responder;
         this.unixClock = unixClock;
     }
 
-    /** The update to submit to the controller; empty where it was answered. */
+    /** Returns the update to submit to the controller, or empty if the request was answered. */
     Optional<PendingMessage> prepare(DnsRequest request) {
         DnsMessage message = request.message();
         if (!message.hasQuestion() || message.type() != RecordTypes.SOA) {
@@ -50,7 +50,7 @@
         ByteArrayKey replayKey = new ByteArrayKey(replayKey(message.octets()));
         PendingMessage original = pendingByReplayKey.get(replayKey);
         if (original == null && zone.replays().contains(replayKey.octets())) {
-            // Applied before this server was restarted; the response may have been lost then.
+            // The update was applied before, perhaps by a previous run, and its response may have been lost.
             responder.answer(request, DynamicUpdate.NOERROR);
             return Optional.empty();
         }
@@ -70,14 +70,14 @@
         }
     }
 
-    /** Applies an update; {@code done} gets the response code, or nothing where the disk failed. */
+    /** Applies an update; {@code done} receives the response code, or empty if the disk write failed. */
     void apply(PendingMessage pending, Consumer<OptionalInt> done) {
         DnsMessage message = pending.request().message();
         byte[] replayKey = pending.replayKey().octets();
         pending.zone().update(unixClock.getAsLong(), replayKey, message.answers(), message.authority(), done);
     }
 
-    /** The started message whose outcome a duplicate shares, or null. */
+    /** Returns the started message whose outcome the duplicate shares, or null. */
     PendingMessage originalOf(PendingMessage duplicate) {
         PendingMessage original = duplicate.original();
         while (original != null && !original.isStarted() && original.original() != null) {
@@ -89,12 +89,12 @@
         return original == duplicate ? null : original;
     }
 
-    /** Lets later duplicates find the message until it is forgotten. */
+    /** Registers the message as the original of later duplicates, until {@link #forget}. */
     void remember(PendingMessage pending) {
         pendingByReplayKey.put(pending.replayKey(), pending);
     }
 
-    /** Later duplicates do not find the message any more. Does nothing for other kinds of message. */
+    /** Unregisters the message as the original of later duplicates. Does nothing for queries and transfers. */
     void forget(PendingMessage pending) {
         if (pending.replayKey() != null) {
             pendingByReplayKey.remove(pending.replayKey(), pending);
--- a/src/main/java/merlinlever/dns/server/ZoneCatalog.java
+++ b/src/main/java/merlinlever/dns/server/ZoneCatalog.java
@@ -6,7 +6,7 @@
 import merlinlever.dns.record.DomainNames;
 import merlinlever.dns.record.RecordTypes;
 
-/** The served zones by origin. */
+/** Finds served zones by name. */
 final class ZoneCatalog {
 
     private final Map<ByteArrayKey, ServedZone> zones = new HashMap<>();
@@ -15,12 +15,12 @@
         served.forEach(zone -> zones.put(new ByteArrayKey(zone.origin()), zone));
     }
 
-    /** The zone whose origin is the name, or null. */
+    /** Returns the zone with the origin, or null. */
     ServedZone find(byte[] origin) {
         return zones.get(new ByteArrayKey(origin));
     }
 
-    /** The zone that answers for a name and class: the one with the longest origin; null for none. */
+    /** Returns the zone with the longest matching origin, or null if no zone serves the name and class. */
     ServedZone closest(byte[] name, int dclass) {
         if (dclass != RecordTypes.IN && dclass != RecordTypes.CLASS_ANY) {
             return null;
--- a/src/main/java/merlinlever/dns/server/ZoneServerMetrics.java
+++ b/src/main/java/merlinlever/dns/server/ZoneServerMetrics.java
@@ -3,11 +3,11 @@
 import io.micrometer.core.instrument.Counter;
 import io.micrometer.core.instrument.MeterRegistry;
 
-/** Counters of messages by kind and outcome. */
+/** Counts messages by kind and outcome. */
 public final class ZoneServerMetrics {
 
     private static final int KINDS = PendingMessage.MessageKind.values().length;
-    /** Response codes of a header (RFC 1035 section 4.1.1). */
+    /** Number of response codes that a header can hold (RFC 1035 section 4.1.1). */
     private static final int CODES = 16;
 
     private final Counter[] accepted = new Counter[KINDS];
@@ -64,15 +64,15 @@
         dropped.increment();
     }
 
-    void healthy(boolean good) {
-        healthy = good;
+    void healthy(boolean isHealthy) {
+        healthy = isHealthy;
     }
 
     boolean healthy() {
         return healthy;
     }
 
-    /** All counters in one line. */
+    /** Returns all message counters except those by response code, as one line. */
     public String summary() {
         StringBuilder line = new StringBuilder();
         for (PendingMessage.MessageKind kind : PendingMessage.MessageKind.values()) {
--- a/src/main/java/merlinlever/dns/server/ZoneTransfer.java
+++ b/src/main/java/merlinlever/dns/server/ZoneTransfer.java
@@ -16,43 +16,46 @@
 import merlinlever.dns.wire.MessageWriter;
 import merlinlever.dns.wire.Tsig;
 
-/** The messages of one zone transfer, each built when it can be sent (RFC 5936, RFC 1995). */
+/** Builds the messages of a zone transfer, one at a time (RFC 5936, RFC 1995). */
 public final class ZoneTransfer {
 
-    /** Octets after which a message ends: large enough to compress names, small enough to buffer. */
-    private static final int MAX_MESSAGE_BYTES = 16_384;
+    /** Size in octets at which a message ends: large enough for name compression, small enough to buffer. */
+    private static final int TARGET_MESSAGE_BYTES = 16_384;
 
-    /** Records that are read ahead from the zone. */
-    private static final int CHUNK = 500;
+    /** Number of records read ahead from the zone. */
+    private static final int READ_AHEAD_RECORDS = 500;
 
     private final DnsMessage request;
     private final Tsig.SignatureChain chain;
-    private final LongSupplier unix;
-    private final int signatureRoom;
+    private final LongSupplier unixClock;
+    private final int maxSignatureBytes;
     private final Iterator<ResourceRecord> records;
     private ResourceRecord next;
-    private boolean first = true;
+    private boolean isFirst = true;
 
     private ZoneTransfer(
-            DnsMessage request, Tsig.Verification verification, LongSupplier unix, Iterator<ResourceRecord> records) {
+            DnsMessage request,
+            Tsig.Verification verification,
+            LongSupplier unixClock,
+            Iterator<ResourceRecord> records) {
         this.request = request;
-        this.unix = unix;
+        this.unixClock = unixClock;
         this.records = records;
         chain = verification == null ? null : new Tsig.SignatureChain(verification.key(), verification.mac());
-        signatureRoom = verification == null ? 0 : Tsig.maxSignatureBytes(verification.key());
+        maxSignatureBytes = verification == null ? 0 : Tsig.maxSignatureBytes(verification.key());
         next = records.next();
     }
 
-    /** The whole zone. */
-    static ZoneTransfer full(DnsMessage request, Tsig.Verification verification, LongSupplier unix, Zone zone) {
-        return new ZoneTransfer(request, verification, unix, new ZoneRecordIterator(zone));
+    /** Creates a transfer of the whole zone. */
+    static ZoneTransfer full(DnsMessage request, Tsig.Verification verification, LongSupplier unixClock, Zone zone) {
+        return new ZoneTransfer(request, verification, unixClock, new ZoneRecordIterator(zone));
     }
 
-    /** The differences; without any, the SOA alone, which says that nothing has changed. */
+    /** Creates a transfer of the differences; a transfer with only the SOA record reports no change. */
     static ZoneTransfer incremental(
             DnsMessage request,
             Tsig.Verification verification,
-            LongSupplier unix,
+            LongSupplier unixClock,
             Zone zone,
             List<Difference> differences) {
         List<ResourceRecord> all = new ArrayList<>();
@@ -64,10 +67,10 @@
         if (!differences.isEmpty()) {
             all.add(all.get(0));
         }
-        return new ZoneTransfer(request, verification, unix, all.iterator());
+        return new ZoneTransfer(request, verification, unixClock, all.iterator());
     }
 
-    /** The next message, or null after the last. */
+    /** Returns the next message, or null after the last message. */
     public byte[] next() {
         if (next == null) {
             return null;
@@ -75,25 +78,25 @@
         MessageWriter out = new MessageWriter(
                 request.id(),
                 DnsMessage.RESPONSE | DnsMessage.AUTHORITATIVE | (request.flags() & DnsMessage.RECURSION_DESIRED),
-                DnsMessage.MAX_BYTES - signatureRoom);
-        if (first) {
+                DnsMessage.MAX_BYTES - maxSignatureBytes);
+        if (isFirst) {
             out.question(request.name(), request.type(), request.dclass());
         }
-        first = false;
+        isFirst = false;
         while (next != null
-                && out.length() < MAX_MESSAGE_BYTES
+                && out.length() < TARGET_MESSAGE_BYTES
                 && out.record(
                         MessageSection.ANSWER, next.owner(), next.type(), RecordTypes.IN, next.ttl(), next.data())) {
             next = records.hasNext() ? records.next() : null;
         }
-        return chain == null ? out.toBytes() : chain.sign(out.toBytes(), unix.getAsLong());
+        return chain == null ? out.toBytes() : chain.sign(out.toBytes(), unixClock.getAsLong());
     }
 
-    /** The records of one version: the SOA, all others, the SOA again. */
+    /** Iterates over a zone version: the SOA record, all other records, and the SOA record again. */
     private static final class ZoneRecordIterator implements Iterator<ResourceRecord> {
         private final Zone zone;
         private final ArrayDeque<ResourceRecord> ready = new ArrayDeque<>();
-        private byte[] from = new byte[0];
+        private byte[] nextKey = new byte[0];
 
         ZoneRecordIterator(Zone zone) {
             this.zone = zone;
@@ -102,18 +105,18 @@
 
         @Override
         public boolean hasNext() {
-            if (ready.isEmpty() && from != null) {
+            if (ready.isEmpty() && nextKey != null) {
                 fill();
             }
             return !ready.isEmpty();
         }
 
         private void fill() {
-            byte[] begin = from;
-            from = null;
-            zone.names().from(begin, (key, owner) -> {
-                if (ready.size() >= CHUNK) {
-                    from = key;
+            byte[] startKey = nextKey;
+            nextKey = null;
+            zone.names().from(startKey, (key, owner) -> {
+                if (ready.size() >= READ_AHEAD_RECORDS) {
+                    nextKey = key;
                     return false;
                 }
                 byte[] name = DomainNames.wire(key);
@@ -124,7 +127,7 @@
                 }
                 return true;
             });
-            if (from == null) {
+            if (nextKey == null) {
                 zone.soa().forEachRecord(zone.origin(), ready::add);
             }
         }
--- a/src/test/java/merlinlever/cli/dns/ZoneServerKillTest.java
+++ b/src/test/java/merlinlever/cli/dns/ZoneServerKillTest.java
@@ -263,7 +263,7 @@
             Files.writeString(
                     folder.resolve("z"), good.replace("host 7", "host 9000000").replace("old", "new"));
             new ProcessBuilder("kill", "-HUP", "" + process.pid()).start().waitFor();
-            awaitLine("taken from the file: serial 9000000");
+            awaitLine("zone file loaded: serial 9000000");
             // Seen once it is on the disk.
             for (int i = 0; i < 100 && zone.serial() < 9_000_000; i++) {
                 Thread.sleep(20);
--- a/src/test/java/merlinlever/dns/server/DnsServerFixture.java
+++ b/src/test/java/merlinlever/dns/server/DnsServerFixture.java
@@ -29,7 +29,7 @@
 import org.xbill.DNS.SimpleResolver;
 import org.xbill.DNS.TSIG;
 
-/** The whole front on loopback sockets; the other side is the library, which knows nothing of our own reading and signing. */
+/** Starts a DNS server on loopback sockets. The client is dnsjava, an independent implementation of the protocol. */
 abstract class DnsServerFixture {
 
     static final String ZONE =
@@ -53,13 +53,13 @@
     Path folder;
 
     EventLoop loop;
-    DnsServer front;
+    DnsServer server;
     ServedZone zone;
     FileStateDirectory state;
     ZoneStore store;
     final ExecutorService threads = Executors.newCachedThreadPool();
     InetSocketAddress address;
-    long unixAhead;
+    long clockOffsetSeconds;
 
     @BeforeEach
     void start() throws Exception {
@@ -81,7 +81,7 @@
         if (recovered == null) {
             store.initialize(ZoneFile.read(file, origin));
         } else {
-            recovered.replayKeys().forEach(mark -> replays.add(mark.unixSeconds(), mark.key()));
+            recovered.replayKeys().forEach(replayKey -> replays.add(replayKey.unixSeconds(), replayKey.key()));
         }
         zone = new ServedZone(
                 recovered == null ? ZoneFile.read(file, origin) : recovered.zone(),
@@ -93,23 +93,23 @@
                 new Tsig.TsigKey(DomainNames.absolute("updater."), "hmac-sha256", SECRET),
                 new Tsig.TsigKey(DomainNames.absolute("next."), "hmac-sha512", new byte[48]),
                 new Tsig.TsigKey(DomainNames.absolute("reader."), "hmac-sha256", new byte[48]));
-        front = new DnsServer(
+        server = new DnsServer(
                 loop,
                 new DnsServer.ListenSettings(new InetSocketAddress("127.0.0.1", 0), 8),
                 new RequestProcessor.ZonesAndKeys(List.of(zone), new Tsig.TsigKeyRing(keys)),
                 new RequestProcessor.ProcessorSettings(64, Duration.ofMillis(200), true, 1),
-                () -> System.currentTimeMillis() / 1000 + unixAhead,
+                () -> System.currentTimeMillis() / 1000 + clockOffsetSeconds,
                 line -> {},
                 new ZoneServerMetrics(new SimpleMeterRegistry()));
-        address = front.address();
+        address = server.address();
         threads.execute(loop::run);
     }
 
     @AfterEach
     void stop() throws Exception {
         loop.execute(() -> {
-            front.close();
-            front.closeSockets();
+            server.close();
+            server.closeSockets();
             loop.stop();
         });
         Thread.sleep(50);
@@ -128,11 +128,11 @@
         return resolver;
     }
 
-    static Message question(String name, int type) throws Exception {
+    static Message newQuery(String name, int type) throws Exception {
         return Message.newQuery(Record.newRecord(new Name(name), type, DClass.IN));
     }
 
-    Message ask(String name, int type) throws Exception {
-        return resolver(null).send(question(name, type));
+    Message query(String name, int type) throws Exception {
+        return resolver(null).send(newQuery(name, type));
     }
 }
--- a/src/test/java/merlinlever/dns/server/DnsServerTest.java
+++ b/src/test/java/merlinlever/dns/server/DnsServerTest.java
@@ -31,7 +31,7 @@
 import org.xbill.DNS.Update;
 import org.xbill.DNS.ZoneTransferIn;
 
-/** What the whole front does on loopback sockets. */
+/** End-to-end tests of the DNS server over loopback sockets. */
 class DnsServerTest extends DnsServerFixture {
 
     private static Update update() throws Exception {
@@ -39,63 +39,64 @@
     }
 
     @Test
-    void questionsAreAnsweredAsAZoneAnswersThem() throws Exception {
-        Message found = ask("Tickets.Example.ORG.", Type.A);
+    void queriesAreAnsweredFromTheZone() throws Exception {
+        Message found = query("Tickets.Example.ORG.", Type.A);
         assertEquals(2, found.getSection(Section.ANSWER).size());
         assertTrue(found.getHeader().getFlag(Flags.AA));
         assertEquals(
                 Type.CNAME,
-                ask("alias.example.org.", Type.A)
+                query("alias.example.org.", Type.A)
                         .getSection(Section.ANSWER)
                         .get(0)
                         .getType());
         assertEquals(
-                3, ask("alias.example.org.", Type.A).getSection(Section.ANSWER).size());
+                3,
+                query("alias.example.org.", Type.A).getSection(Section.ANSWER).size());
         assertEquals(
                 "x.y.w.example.org.",
-                ask("x.y.w.example.org.", Type.TXT)
+                query("x.y.w.example.org.", Type.TXT)
                         .getSection(Section.ANSWER)
                         .get(0)
                         .getName()
                         .toString());
-        Message empty = ask("b.example.org.", Type.A);
+        Message empty = query("b.example.org.", Type.A);
         assertEquals(Rcode.NOERROR, empty.getRcode());
         assertEquals(Type.SOA, empty.getSection(Section.AUTHORITY).get(0).getType());
-        assertEquals(Rcode.NXDOMAIN, ask("c.example.org.", Type.A).getRcode());
-        Message referred = ask("x.sub.example.org.", Type.A);
-        assertFalse(referred.getHeader().getFlag(Flags.AA));
-        assertEquals(Type.NS, referred.getSection(Section.AUTHORITY).get(0).getType());
+        assertEquals(Rcode.NXDOMAIN, query("c.example.org.", Type.A).getRcode());
+        Message referral = query("x.sub.example.org.", Type.A);
+        assertFalse(referral.getHeader().getFlag(Flags.AA));
+        assertEquals(Type.NS, referral.getSection(Section.AUTHORITY).get(0).getType());
         assertEquals(
                 "127.0.0.9",
-                ((ARecord) referred.getSection(Section.ADDITIONAL).get(0))
+                ((ARecord) referral.getSection(Section.ADDITIONAL).get(0))
                         .getAddress()
                         .getHostAddress());
-        assertEquals(Rcode.REFUSED, ask("example.com.", Type.A).getRcode());
+        assertEquals(Rcode.REFUSED, query("example.com.", Type.A).getRcode());
     }
 
     @Test
-    void aSignedUpdateIsSeenAndLastsAndAnUnsignedOneIsNot() throws Exception {
+    void signedUpdateIsAppliedAndDurableAndUnsignedUpdateIsRefused() throws Exception {
         Update update = update();
         update.present(new Name("tickets.example.org."));
         update.replace(new Name("tickets.example.org."), Type.A, 30, "127.0.1.9");
         assertEquals(Rcode.REFUSED, resolver(null).send(update).getRcode());
         assertEquals(
                 2,
-                ask("tickets.example.org.", Type.A).getSection(Section.ANSWER).size());
+                query("tickets.example.org.", Type.A).getSection(Section.ANSWER).size());
         assertEquals(Rcode.NOERROR, resolver(key()).send(update).getRcode());
         assertEquals(
                 1,
-                ask("tickets.example.org.", Type.A).getSection(Section.ANSWER).size());
+                query("tickets.example.org.", Type.A).getSection(Section.ANSWER).size());
         stop();
         start();
         assertEquals(
                 1,
-                ask("tickets.example.org.", Type.A).getSection(Section.ANSWER).size());
+                query("tickets.example.org.", Type.A).getSection(Section.ANSWER).size());
         assertEquals(8, zone.zone().serial());
     }
 
     @Test
-    void keysFollowOneAnotherAndEachBadSignatureIsToldApart() throws Exception {
+    void severalKeysAreAcceptedAndEachSignatureErrorIsReported() throws Exception {
         Update update = update();
         update.add(new Name("n.example.org."), Type.A, 30, "127.0.1.9");
         assertEquals(
@@ -108,26 +109,28 @@
                 resolver(new TSIG(TSIG.HMAC_SHA256, new Name("reader."), new byte[48]))
                         .send(update)
                         .getRcode());
-        // Raw, as the library's resolver checks what it gets itself.
-        assertEquals(Rcode.BADKEY, error(signed(update, new TSIG(TSIG.HMAC_SHA256, new Name("unknown."), SECRET))));
+        // Sent without the resolver of dnsjava, which would reject the responses.
         assertEquals(
-                Rcode.BADSIG, error(signed(update, new TSIG(TSIG.HMAC_SHA256, new Name("updater."), new byte[33]))));
-        unixAhead = 1000;
-        assertEquals(Rcode.BADTIME, error(signed(update, key())));
-        unixAhead = 0;
-        byte[] cut = signed(update, key());
-        assertEquals(Rcode.FORMERR, new Message(exchange(Arrays.copyOf(cut, cut.length - 20))).getRcode());
+                Rcode.BADKEY, signatureError(signed(update, new TSIG(TSIG.HMAC_SHA256, new Name("unknown."), SECRET))));
+        assertEquals(
+                Rcode.BADSIG,
+                signatureError(signed(update, new TSIG(TSIG.HMAC_SHA256, new Name("updater."), new byte[33]))));
+        clockOffsetSeconds = 1000;
+        assertEquals(Rcode.BADTIME, signatureError(signed(update, key())));
+        clockOffsetSeconds = 0;
+        byte[] signedUpdate = signed(update, key());
+        assertEquals(Rcode.FORMERR, new Message(exchange(Arrays.copyOf(signedUpdate, signedUpdate.length - 20))).getRcode());
         assertEquals(8, zone.zone().serial());
     }
 
     private static byte[] signed(Message message, TSIG key) throws Exception {
-        Message made = message.clone();
-        made.setTSIG(key, Rcode.NOERROR, null);
-        return made.toWire(65_535);
+        Message signed = message.clone();
+        signed.setTSIG(key, Rcode.NOERROR, null);
+        return signed.toWire(65_535);
     }
 
-    private int error(byte[] asked) throws Exception {
-        Message answer = new Message(exchange(asked));
+    private int signatureError(byte[] request) throws Exception {
+        Message answer = new Message(exchange(request));
         assertEquals(Rcode.NOTAUTH, answer.getRcode());
         return answer.getTSIG().getError();
     }
@@ -136,14 +139,14 @@
         try (DatagramSocket socket = new DatagramSocket()) {
             socket.setSoTimeout(3000);
             socket.send(new DatagramPacket(octets, octets.length, address));
-            DatagramPacket got = new DatagramPacket(new byte[65_535], 65_535);
-            socket.receive(got);
-            return Arrays.copyOf(got.getData(), got.getLength());
+            DatagramPacket received = new DatagramPacket(new byte[65_535], 65_535);
+            socket.receive(received);
+            return Arrays.copyOf(received.getData(), received.getLength());
         }
     }
 
     @Test
-    void theSameDatagramTwiceIsDoneOnceEvenAcrossARestart() throws Exception {
+    void duplicateUpdateIsAppliedOnceEvenAcrossARestart() throws Exception {
         Update add = update();
         add.add(new Name("twice.example.org."), Type.A, 30, "127.0.1.9");
         byte[] octets = signed(add, key());
@@ -153,29 +156,31 @@
         remove.delete(new Name("twice.example.org."));
         assertEquals(Rcode.NOERROR, resolver(key()).send(remove).getRcode());
         assertEquals(Rcode.NOERROR, new Message(exchange(octets)).getRcode());
-        assertEquals(Rcode.NXDOMAIN, ask("twice.example.org.", Type.A).getRcode());
+        assertEquals(Rcode.NXDOMAIN, query("twice.example.org.", Type.A).getRcode());
         stop();
         start();
         assertEquals(Rcode.NOERROR, new Message(exchange(octets)).getRcode());
-        assertEquals(Rcode.NXDOMAIN, ask("twice.example.org.", Type.A).getRcode());
+        assertEquals(Rcode.NXDOMAIN, query("twice.example.org.", Type.A).getRcode());
     }
 
     @Test
-    void whatDoesNotFitADatagramIsCutAndComesWholeOverTcp() throws Exception {
+    void largeResponseIsTruncatedOverUdpAndCompleteOverTcp() throws Exception {
         Update many = update();
         for (int i = 0; i < 200; i++) {
             many.add(new Name("many.example.org."), Type.A, 30, "127.0.2." + i);
         }
         assertEquals(Rcode.NOERROR, resolver(key()).send(many).getRcode());
-        Message cut = new Message(exchange(question("many.example.org.", Type.A).toWire()));
-        assertTrue(cut.getHeader().getFlag(Flags.TC));
-        assertEquals(0, cut.getSection(Section.ANSWER).size());
+        Message truncated =
+                new Message(exchange(newQuery("many.example.org.", Type.A).toWire()));
+        assertTrue(truncated.getHeader().getFlag(Flags.TC));
+        assertEquals(0, truncated.getSection(Section.ANSWER).size());
         assertEquals(
-                200, ask("many.example.org.", Type.A).getSection(Section.ANSWER).size());
+                200,
+                query("many.example.org.", Type.A).getSection(Section.ANSWER).size());
     }
 
     @Test
-    void transfersGiveTheWholeZoneOrWhatHasChanged() throws Exception {
+    void transfersSendTheWholeZoneOrTheDifferences() throws Exception {
         ZoneTransferIn all = ZoneTransferIn.newAXFR(new Name("example.org."), address, key());
         all.run();
         assertEquals(zone.zone().records() + 1, all.getAXFR().size());
@@ -194,85 +199,85 @@
         ZoneTransferIn old = ZoneTransferIn.newIXFR(new Name("example.org."), 3, true, address, key());
         old.run();
         assertTrue(old.isAXFR());
-        assertThrows(Exception.class, () -> resolver(null).send(question("example.org.", Type.AXFR)), "REFUSED");
+        assertThrows(Exception.class, () -> resolver(null).send(newQuery("example.org.", Type.AXFR)), "REFUSED");
     }
 
     @Test
-    void garbageIsAnsweredOrDroppedAndHarmsNobody() throws Exception {
-        byte[] good = question("tickets.example.org.", Type.A).toWire();
-        byte[] loops = good.clone();
-        loops[12] = (byte) 0xc0;
-        loops[13] = 12;
-        assertEquals(Rcode.FORMERR, new Message(exchange(loops)).getRcode());
-        byte[] behind = Arrays.copyOf(good, good.length + 3);
-        assertEquals(Rcode.FORMERR, new Message(exchange(behind)).getRcode());
+    void malformedMessagesAreAnsweredOrDropped() throws Exception {
+        byte[] request = newQuery("tickets.example.org.", Type.A).toWire();
+        byte[] pointerLoop = request.clone();
+        pointerLoop[12] = (byte) 0xc0;
+        pointerLoop[13] = 12;
+        assertEquals(Rcode.FORMERR, new Message(exchange(pointerLoop)).getRcode());
+        byte[] trailingOctets = Arrays.copyOf(request, request.length + 3);
+        assertEquals(Rcode.FORMERR, new Message(exchange(trailingOctets)).getRcode());
         try (DatagramSocket socket = new DatagramSocket()) {
             socket.setSoTimeout(200);
-            byte[] response = good.clone();
+            byte[] response = request.clone();
             response[2] |= (byte) 0x80;
-            for (byte[] silent : new byte[][] {response, new byte[11], new byte[0]}) {
-                socket.send(new DatagramPacket(silent, silent.length, address));
+            for (byte[] dropped : new byte[][] {response, new byte[11], new byte[0]}) {
+                socket.send(new DatagramPacket(dropped, dropped.length, address));
             }
-            DatagramPacket got = new DatagramPacket(new byte[512], 512);
-            SocketTimeoutException nothing = null;
+            DatagramPacket received = new DatagramPacket(new byte[512], 512);
+            SocketTimeoutException timeout = null;
             try {
-                socket.receive(got);
+                socket.receive(received);
             } catch (SocketTimeoutException e) {
-                nothing = e;
+                timeout = e;
             }
-            assertTrue(nothing != null, "an answer to what is no question");
+            assertTrue(timeout != null, "the server answered a message that is not a request");
         }
-        assertEquals(Rcode.NOERROR, ask("tickets.example.org.", Type.A).getRcode());
+        assertEquals(Rcode.NOERROR, query("tickets.example.org.", Type.A).getRcode());
     }
 
     @Test
-    void aPeerThatSendsHalfAMessageIsClosedAndOthersGoOn() throws Exception {
+    void connectionWithAnIncompleteMessageIsClosedAfterTheTimeout() throws Exception {
         try (Socket slow = new Socket(address.getAddress(), address.getPort())) {
-            byte[] good = question("tickets.example.org.", Type.A).toWire();
+            byte[] request = newQuery("tickets.example.org.", Type.A).toWire();
             OutputStream out = slow.getOutputStream();
             out.write(0);
-            out.write(good.length);
-            out.write(good, 0, 10);
-            long began = System.nanoTime();
+            out.write(request.length);
+            out.write(request, 0, 10);
+            long startedAt = System.nanoTime();
             CompletableFuture<Integer> end = CompletableFuture.supplyAsync(() -> {
                 try {
                     for (int i = 10; i < 14; i++) {
                         Thread.sleep(1000);
-                        out.write(good, i, 1);
+                        out.write(request, i, 1);
                     }
                     return slow.getInputStream().read();
                 } catch (Exception e) {
                     return -1;
                 }
             });
-            assertEquals(Rcode.NOERROR, ask("tickets.example.org.", Type.A).getRcode());
+            assertEquals(Rcode.NOERROR, query("tickets.example.org.", Type.A).getRcode());
             assertEquals(-1, end.get(9, TimeUnit.SECONDS));
-            assertTrue(System.nanoTime() - began > 3_500_000_000L);
+            assertTrue(System.nanoTime() - startedAt > 3_500_000_000L);
         }
     }
 
     @Test
-    void aBurstOnAColdServerIsBegunAsItIsRead() throws Exception {
-        byte[] good = question("tickets.example.org.", Type.A).toWire();
+    void burstAfterStartIsAdmittedCompletely() throws Exception {
+        byte[] request = newQuery("tickets.example.org.", Type.A).toWire();
         try (DatagramSocket socket = new DatagramSocket()) {
             socket.setSoTimeout(2000);
-            // All answers may be there before the first is read; the usual buffer holds fewer than 300.
+            // All responses may arrive before the first is read; the default buffer holds fewer than 300.
             socket.setReceiveBufferSize(1 << 20);
             for (int i = 0; i < 300; i++) {
-                socket.send(new DatagramPacket(good, good.length, address));
+                socket.send(new DatagramPacket(request, request.length, address));
             }
             int refused = 0;
             for (int i = 0; i < 300; i++) {
-                DatagramPacket got = new DatagramPacket(new byte[512], 512);
-                socket.receive(got);
-                refused += (got.getData()[3] & 15) == Rcode.REFUSED ? 1 : 0;
+                DatagramPacket received = new DatagramPacket(new byte[512], 512);
+                socket.receive(received);
+                refused += (received.getData()[3] & 15) == Rcode.REFUSED ? 1 : 0;
             }
             assertEquals(0, refused);
         }
     }
 
     @Test
-    void moreConnectionsThanAllowedMakeRoom() throws Exception {
+    void idleConnectionsAreClosedAtTheConnectionLimit() throws Exception {
         Socket[] idle = new Socket[12];
         for (int i = 0; i < idle.length; i++) {
             idle[i] = new Socket(address.getAddress(), address.getPort());
@@ -282,37 +287,37 @@
         tcp.setTCP(true);
         assertEquals(
                 Rcode.NOERROR,
-                tcp.send(question("tickets.example.org.", Type.A)).getRcode());
+                tcp.send(newQuery("tickets.example.org.", Type.A)).getRcode());
         for (Socket socket : idle) {
             socket.close();
         }
     }
 
     @Test
-    void aDrainAnswersWhatWasReadAndRefusesWhatCameLate() throws Exception {
+    void drainAnswersWithinTheGracePeriodAndRefusesLater() throws Exception {
         try (Socket socket = new Socket(address.getAddress(), address.getPort())) {
-            byte[] good = question("tickets.example.org.", Type.A).toWire();
-            byte[] framed = new byte[good.length + 2];
-            framed[1] = (byte) good.length;
-            System.arraycopy(good, 0, framed, 2, good.length);
+            byte[] request = newQuery("tickets.example.org.", Type.A).toWire();
+            byte[] framed = new byte[request.length + 2];
+            framed[1] = (byte) request.length;
+            System.arraycopy(request, 0, framed, 2, request.length);
             CompletableFuture<Boolean> draining = new CompletableFuture<>();
             loop.execute(() -> {
-                front.startDrain(Duration.ofSeconds(2));
+                server.startDrain(Duration.ofSeconds(2));
                 draining.complete(true);
             });
             assertTrue(draining.get(1, TimeUnit.SECONDS));
             DataInputStream in = new DataInputStream(socket.getInputStream());
-            // Within the grace it is answered, past it turned away; an answer comes either way.
+            // Within the grace period the query is answered; later it is refused, with a response.
             assertEquals(Rcode.NOERROR, answered(socket, framed, in));
             Thread.sleep(300);
             assertEquals(Rcode.REFUSED, answered(socket, framed, in));
             Update late = update();
             late.add(new Name("late.example.org."), Type.A, 30, "127.0.1.9");
             assertEquals(Rcode.REFUSED, new Message(exchange(signed(late, key()))).getRcode());
-            loop.execute(front::close);
+            loop.execute(server::close);
             assertEquals(-1, in.read());
             CompletableFuture<Boolean> answered = new CompletableFuture<>();
-            loop.execute(() -> answered.complete(front.isDrained()));
+            loop.execute(() -> answered.complete(server.isDrained()));
             assertTrue(answered.get(1, TimeUnit.SECONDS));
             assertNull(zone.zone().set(DomainNames.absolute("late.example.org."), Type.A));
         }
@@ -327,7 +332,7 @@
     }
 
     @Test
-    void everyKindOfPrerequisiteDecidesTheWhole() throws Exception {
+    void anyFailedPrerequisiteRejectsTheWholeUpdate() throws Exception {
         Name tickets = new Name("tickets.example.org.");
         Name none = new Name("none.example.org.");
         int[] expected = {
@@ -351,7 +356,7 @@
             assertEquals(expected[i], resolver(key()).send(update).getRcode(), "case " + i);
             assertEquals(
                     expected[i] == Rcode.NOERROR ? Rcode.NOERROR : Rcode.NXDOMAIN,
-                    ask("done" + i + ".example.org.", Type.A).getRcode());
+                    query("done" + i + ".example.org.", Type.A).getRcode());
         }
     }
 }
