--- a/src/main/java/merlinlever/dns/server/PendingMessage.java
+++ b/src/main/java/merlinlever/dns/server/PendingMessage.java
@@ -125,7 +125,7 @@
         isCalling = calling;
     }
 
-    /** Returns the response code, or empty if it is undecided. */
+    /** Returns the response code, or empty while undecided. */
     OptionalInt code() {
         return code;
     }
--- a/src/main/java/merlinlever/dns/wire/MessageWriter.java
+++ b/src/main/java/merlinlever/dns/wire/MessageWriter.java
@@ -125,7 +125,7 @@
         int start = position;
         int targetsBefore = targetCount;
         int bytes = DnsMessage.RECORD_FIXED_BYTES + length;
-        // The owner name takes only a pointer if it can be compressed.
+        // A compressed owner name may take only a pointer.
         if (!ensureRoom(owner.length + bytes) && !ensureRoom(Math.min(owner.length, POINTER_BYTES) + bytes)) {
             return false;
         }
