--- a/src/test/java/merlinlever/cli/dns/ZoneServerKillTest.java
+++ b/src/test/java/merlinlever/cli/dns/ZoneServerKillTest.java
@@ -256,14 +256,14 @@
             awaitAnswers(loop, answered, MIN_ANSWERS);
             Files.writeString(folder.resolve("z"), good.replace("host 7", "host 9000000") + "bad A 1.2.3\n");
             new ProcessBuilder("kill", "-HUP", "" + process.pid()).start().waitFor();
-            awaitLine("/z:6: no IPv4 address: 1.2.3");
+            awaitLine("/z:6: not an IPv4 address: 1.2.3");
             Zone zone = fetch(loop, asker, key);
             assertNotNull(zone.set(name("old.example.org."), RecordTypes.TXT));
             assertTrue(zone.serial() < 9_000_000);
             Files.writeString(
                     folder.resolve("z"), good.replace("host 7", "host 9000000").replace("old", "new"));
             new ProcessBuilder("kill", "-HUP", "" + process.pid()).start().waitFor();
-            awaitLine("taken from the file: serial 9000000");
+            awaitLine("zone file loaded: serial 9000000");
             // Seen once it is on the disk.
             for (int i = 0; i < 100 && zone.serial() < 9_000_000; i++) {
                 Thread.sleep(20);
