--- a/src/main/java/merlinlever/cli/faults/FaultsCommands.java
+++ b/src/main/java/merlinlever/cli/faults/FaultsCommands.java
@@ -204,7 +204,7 @@
                         Locale.ROOT,
                         "tries %d satisfied, %d pushed back, %d failed, %d without an answer; %d operations with an effect, ",
                         counts)
-                + fleet.rules().breached() + " breaches";
+                + fleet.rules().violationCount() + " breaches";
     }
 
     @Command(
@@ -226,9 +226,9 @@
             return 2;
         }
         try {
-            CrashStates states = CrashStates.of(Files.readString(recording, StandardCharsets.US_ASCII));
+            CrashStates states = CrashStates.parse(Files.readString(recording, StandardCharsets.US_ASCII));
             CrashStatePrinter printer = new CrashStatePrinter(states.operations(), restoreInto);
-            int count = states.each(printer::print);
+            int count = states.forEachState(printer::print);
             out().println(count + " states of " + states.operations() + " operations");
             return 0;
         } catch (UncheckedIOException e) {
@@ -252,11 +252,11 @@
 
         void print(CrashStates.CrashState state) {
             String name = String.format("%05d", number++);
-            out().println(name + " after " + state.cut() + " of " + operations + ": " + state.how() + ", "
+            out().println(name + " after " + state.cut() + " of " + operations + ": " + state.description() + ", "
                     + state.files().size() + " files");
             if (restoreInto != null) {
                 try {
-                    StateRestorer.into(restoreInto.resolve(name), state);
+                    StateRestorer.restore(restoreInto.resolve(name), state);
                 } catch (IOException e) {
                     throw new UncheckedIOException(e);
                 }
--- a/src/main/java/merlinlever/testing/faults/FaultHarness.java
+++ b/src/main/java/merlinlever/testing/faults/FaultHarness.java
@@ -86,8 +86,8 @@
                 Thread.sleep(wait / 1_000_000, (int) (wait % 1_000_000));
             }
             apply(step);
-            played.add(step.told());
-            log.accept("played " + step.told());
+            played.add(step.toYaml());
+            log.accept("played " + step.toYaml());
         }
         long rest = plan.length().toNanos() - (System.nanoTime() - begun);
         if (rest > 0) {
@@ -126,7 +126,7 @@
                 }
             }
         }
-        breaches.addAll(AgreementAudit.breaches(fleet.running(), said));
+        breaches.addAll(AgreementAudit.findViolations(fleet.running(), said));
         return breaches;
     }
 
@@ -138,7 +138,7 @@
         ManagedProcesses processes = fleet.processes();
         switch (step.kind()) {
             case KILL, POWER -> {
-                for (int i : who(step.who())) {
+                for (int i : who(step.targets())) {
                     if (processes.state(fleet.name(i)) != ManagedProcesses.ProcessState.ENDED) {
                         processes.kill(fleet.name(i));
                         powered[i] = step.kind() == FaultScript.FaultKind.POWER;
@@ -146,7 +146,7 @@
                 }
             }
             case TERM -> {
-                for (int i : who(step.who())) {
+                for (int i : who(step.targets())) {
                     if (processes.state(fleet.name(i)) != ManagedProcesses.ProcessState.ENDED
                             && !processes.terminate(fleet.name(i), TERM)) {
                         log.accept(fleet.name(i) + " did not end within " + TERM.toMillis() + " ms of SIGTERM; killed");
@@ -155,7 +155,7 @@
                 }
             }
             case PAUSE, RESUME -> {
-                for (int i : who(step.who())) {
+                for (int i : who(step.targets())) {
                     ManagedProcesses.ProcessState seen = processes.state(fleet.name(i));
                     if (step.kind() == FaultScript.FaultKind.PAUSE && seen == ManagedProcesses.ProcessState.RUNNING) {
                         processes.pause(fleet.name(i));
@@ -166,7 +166,7 @@
                 }
             }
             case RESTART -> {
-                for (int i : who(step.who())) {
+                for (int i : who(step.targets())) {
                     if (processes.state(fleet.name(i)) == ManagedProcesses.ProcessState.ENDED) {
                         restart(i);
                     }
@@ -178,8 +178,8 @@
 
     private static void change(LinkFaults links, FaultScript.FaultStep step) {
         int n = links.members();
-        List<Integer> who = step.who().isEmpty() ? all(n) : step.who();
-        List<Integer> to = step.to().isEmpty() ? all(n) : step.to();
+        List<Integer> who = step.targets().isEmpty() ? all(n) : step.targets();
+        List<Integer> to = step.peers().isEmpty() ? all(n) : step.peers();
         switch (step.kind()) {
             case ISOLATE -> who.forEach(member -> links.isolate(member, step.oneWay()));
             case PARTITION -> links.partition(
@@ -192,14 +192,14 @@
                             continue;
                         }
                         switch (step.kind()) {
-                            case DELAY -> links.both(
+                            case DELAY -> links.setBothWays(
                                     from, other, LinkFaults.LinkFault.delayed(step.delay(), step.jitter()));
-                            case DROP -> links.both(from, other, LinkFaults.LinkFault.lossy(step.share()));
-                            case DUPLICATE -> links.both(
+                            case DROP -> links.setBothWays(from, other, LinkFaults.LinkFault.lossy(step.share()));
+                            case DUPLICATE -> links.setBothWays(
                                     from,
                                     other,
                                     new LinkFaults.LinkFault(0, step.share(), Duration.ZERO, Duration.ZERO, 0, false));
-                            case SLOW -> links.both(from, other, LinkFaults.LinkFault.slow(step.bytes()));
+                            case SLOW -> links.setBothWays(from, other, LinkFaults.LinkFault.slow(step.bytes()));
                             case RESET -> links.reset(from, other);
                             default -> throw new IllegalArgumentException("not a fault of links: " + step.kind());
                         }
@@ -236,13 +236,13 @@
     /** Lays the folder that the record is of as a power loss may have left it, drawn. */
     static void lay(Path record, SplittableRandom chance, Consumer<String> log) throws IOException {
         try {
-            CrashStates states = CrashStates.of(Files.readString(record, StandardCharsets.US_ASCII));
+            CrashStates states = CrashStates.parse(Files.readString(record, StandardCharsets.US_ASCII));
             // Where all was forced, what a kill leaves is all that a power loss may leave.
-            List<CrashStates.CrashState> last = states.last();
+            List<CrashStates.CrashState> last = states.finalStates();
             if (states.folder() != null && !last.isEmpty()) {
                 CrashStates.CrashState state = last.get(chance.nextInt(last.size()));
-                StateRestorer.into(Path.of(states.folder()), state);
-                log.accept("laid " + states.folder() + " as after a power loss: " + state.how());
+                StateRestorer.restore(Path.of(states.folder()), state);
+                log.accept("laid " + states.folder() + " as after a power loss: " + state.description());
             }
         } catch (CrashStates.MalformedRecordingException e) {
             throw new IOException(record + ": " + e.getMessage(), e);
--- a/src/main/java/merlinlever/testing/faults/PowerLoss.java
+++ b/src/main/java/merlinlever/testing/faults/PowerLoss.java
@@ -108,7 +108,7 @@
         SplittableRandom chance = new SplittableRandom(seed);
         List<String> breaches = new ArrayList<>();
         int[] before = new int[1];
-        fleet.on(none -> before[0] = fleet.rules().breaches().size());
+        fleet.on(none -> before[0] = fleet.rules().violations().size());
         for (int i : fleet.all()) {
             if (!fleet.runs(i)) {
                 fleet.start(i);
@@ -121,7 +121,7 @@
             int spared = order.remove(0);
             fleet.on(links -> fleet.all().stream()
                     .filter(i -> i != spared)
-                    .forEach(i -> links.both(
+                    .forEach(i -> links.setBothWays(
                             spared, i, LinkFaults.LinkFault.delayed(Duration.ofMillis(400), Duration.ofMillis(200)))));
         }
         lose(order, kind == PowerLossKind.LAST_FIRST, chance);
@@ -149,7 +149,7 @@
         Duration[] at = served(back, lost, breaches);
         fleet.on(LinkFaults::heal);
         List<String> found = new ArrayList<>();
-        fleet.on(none -> found.addAll(fleet.rules().breaches()));
+        fleet.on(none -> found.addAll(fleet.rules().violations()));
         breaches.addAll(found.subList(before[0], found.size()));
         PowerLossOutcome outcome = new PowerLossOutcome(
                 kind,
@@ -173,7 +173,7 @@
                     .mapToInt(i -> fleet.callers(i).openAttempts())
                     .sum());
         }
-        fleet.on(none -> found.addAll(fleet.rules().breaches()));
+        fleet.on(none -> found.addAll(fleet.rules().violations()));
         if (open[0] > 0) {
             found.add(open[0] + " tries did not come to an end");
         }
@@ -292,7 +292,7 @@
     public List<String> incarnations() throws InterruptedException {
         List<String> breaches = new ArrayList<>();
         fleet.on(none -> {
-            breaches.addAll(fleet.incarnations().breaches());
+            breaches.addAll(fleet.incarnations().violations());
             long[] counts = fleet.incarnations().counts();
             if (counts[1] > 0) {
                 breaches.add(counts[1] + " datagrams of backends were not read by the audit");
--- a/src/main/java/merlinlever/testing/faults/QuotaFaults.java
+++ b/src/main/java/merlinlever/testing/faults/QuotaFaults.java
@@ -129,8 +129,8 @@
         SplittableRandom chance = new SplittableRandom(seed);
         int[] before = new int[2];
         fleet.on(none -> {
-            before[0] = fleet.rules().breaches().size();
-            before[1] = fleet.shares().breaches().size();
+            before[0] = fleet.rules().violations().size();
+            before[1] = fleet.shares().violations().size();
         });
         int lease = (int) fleet.stated().budget().lease().toMillis();
         Thread.sleep(chance.nextInt(lease));
@@ -168,7 +168,7 @@
             case SLOW_LEADER -> {
                 fleet.on(links -> fleet.all().stream()
                         .filter(i -> i != leader)
-                        .forEach(i -> links.both(
+                        .forEach(i -> links.setBothWays(
                                 leader,
                                 i,
                                 LinkFaults.LinkFault.delayed(
@@ -200,17 +200,17 @@
                 fleet.whole(whole / 2);
                 // Until the larger shares have run out, each may be spent still.
                 Thread.sleep(2 * lease + 2500);
-                fleet.on(none -> fleet.shares().whole(whole / 2));
+                fleet.on(none -> fleet.shares().setQuota(whole / 2));
                 Thread.sleep(lease);
-                fleet.on(none -> fleet.shares().whole(whole));
+                fleet.on(none -> fleet.shares().setQuota(whole));
                 fleet.whole(whole);
             }
         }
         Duration divided = divided();
         List<String> breaches = new ArrayList<>();
         fleet.on(none -> {
-            List<String> rules = fleet.rules().breaches();
-            List<String> shares = fleet.shares().breaches();
+            List<String> rules = fleet.rules().violations();
+            List<String> shares = fleet.shares().violations();
             breaches.addAll(rules.subList(before[0], rules.size()));
             breaches.addAll(shares.subList(before[1], shares.size()));
         });
--- a/src/main/java/merlinlever/testing/faults/RoutesModel.java
+++ b/src/main/java/merlinlever/testing/faults/RoutesModel.java
@@ -69,7 +69,7 @@
         /** From now on its own routes are restricted so; null withdraws them. */
         public void restrict(Restrictions now_) {
             restrictions = now_;
-            audit.said(now, name, now_);
+            audit.recordRestrictions(now, name, now_);
         }
 
         /** It lost what it knew of its versions, and comes with an older one. */
@@ -245,7 +245,7 @@
             toSite(this, there, () -> {
                 if (first.up) {
                     RouteTable table = there.publish(first, site.name);
-                    audit.table(now, partner, site.name, table);
+                    audit.recordTable(now, partner, site.name, table);
                     toSite(first, site, () -> {
                         long[] last = asked.get(partner);
                         if (up && last != null && last[0] == number && last[2] == from.toNanos()) {
@@ -286,7 +286,7 @@
         public void operation() {
             RouteSelector.RoutingClass tariff = TARIFFS[chance.nextInt(2)];
             long id = ++operations;
-            audit.begun(id, now + 4000);
+            audit.recordStart(id, now + 4000);
             attempt(id, tariff, "k" + chance.nextInt(500), new HashSet<>(), false, 0);
         }
 
@@ -301,7 +301,7 @@
                             lostThen ? Outcome.UNREACHABLE : site.serviceUp ? Outcome.OK : Outcome.CONNECTION_LOST;
                     if ((how == Outcome.OK && effect)
                             || (how == Outcome.CONNECTION_LOST && effect && chance.nextBoolean())) {
-                        audit.effect(now, id, site.name);
+                        audit.recordEffect(now, id, site.name);
                     }
                     own.recordOutcome(clock(), how, Duration.ofMillis(now - began));
                     ended(id, tariff, key, tried, missing, times, how);
@@ -327,7 +327,7 @@
                 }
             });
             boolean[] came = new boolean[1];
-            audit.call(now, site.name, path, effect);
+            audit.recordCall(now, site.name, path, effect);
             toSite(this, first, () -> {
                 // A connection carries a call once.
                 if (came[0]) {
@@ -336,7 +336,7 @@
                 came[0] = true;
                 boolean ran = last.serviceUp;
                 if (ran && effect) {
-                    audit.effect(now, id, last.name);
+                    audit.recordEffect(now, id, last.name);
                 }
                 toSite(first.nodes.get(0), site, () -> {
                     if (!over[0]) {
@@ -364,7 +364,7 @@
                 attempt(id, tariff, key, tried, missing || !how.provesNoEffect(), times + 1);
                 return;
             }
-            audit.ended(now, id);
+            audit.recordEnd(now, id);
             site.served += how == Outcome.OK ? 1 : 0;
             site.brokenOff += how == Outcome.OK ? 0 : 1;
         }
--- a/src/main/java/merlinlever/testing/faults/ServeFleet.java
+++ b/src/main/java/merlinlever/testing/faults/ServeFleet.java
@@ -103,7 +103,8 @@
         }
         hub = new UdpSwitch(loop, links, real, fronts, seed);
         MembershipCodec wire = new MembershipCodec(SECRET.getBytes(StandardCharsets.UTF_8));
-        on(none -> hub.tap((from, to, octets) -> incarnations.sent(name(from), name(to), wire.decode(octets))));
+        on(none -> hub.setTap(
+                (from, to, octets) -> incarnations.recordMessage(name(from), name(to), wire.decode(octets))));
         Files.createDirectories(root);
         Path secret = root.resolve("secret");
         Files.writeString(secret, SECRET);
@@ -304,7 +305,7 @@
 
     /** Starts it, the first time or again. */
     public void start(int i) throws IOException, InterruptedException {
-        between(() -> incarnations.began(name(i)));
+        between(() -> incarnations.recordStart(name(i)));
         on(none -> {
             callers.get(i).setBackendDown(false);
             farms.get(i).powerOn();
@@ -314,7 +315,7 @@
 
     /** The backend's disk was made such that it cannot know what it told; it does not run. */
     public void forgot(int i) throws IOException, InterruptedException {
-        between(() -> incarnations.forgot(name(i)));
+        between(() -> incarnations.recordStateLoss(name(i)));
     }
 
     /** Between two lives of a backend: when all that the one sent has been heard. */
@@ -322,7 +323,7 @@
         IOException[] failed = new IOException[1];
         on(none -> {
             try {
-                hub.takeIn();
+                hub.receivePending();
                 what.run();
             } catch (IOException e) {
                 failed[0] = e;
--- a/src/main/java/merlinlever/testing/faults/ViewFaults.java
+++ b/src/main/java/merlinlever/testing/faults/ViewFaults.java
@@ -108,7 +108,7 @@
         }
         if (until(this::allWhole) == null) {
             throw new IOException("not whole within " + patience.toMillis() + " ms: "
-                    + audit.last().values() + "\n" + drawn("The start"));
+                    + audit.lastReports().values() + "\n" + drawn("The start"));
         }
     }
 
@@ -144,15 +144,18 @@
                     number,
                     view.path("digest").asText(),
                     view.path("members").asInt());
-            ViewConsistencyAudit.ReportedView before = audit.last().get(its.by());
-            if (before == null || !before.standing().equals(its.standing()) || before.number() != its.number()) {
+            ViewConsistencyAudit.ReportedView before = audit.lastReports().get(its.by());
+            if (before == null
+                    || !before.quorumStatus().equals(its.quorumStatus())
+                    || before.number() != its.number()) {
                 logs.note(
                         Instant.now(),
                         its.by(),
-                        "* " + its.standing() + ", view " + view.path("view").asText() + " of " + its.members()
-                                + " members, hears " + view.path("hears").size());
+                        "* " + its.quorumStatus() + ", view "
+                                + view.path("view").asText() + " of " + its.members() + " members, hears "
+                                + view.path("hears").size());
             }
-            audit.told(its);
+            audit.recordReport(its);
             now.put(i, its);
         }
         return now;
@@ -181,7 +184,7 @@
     private boolean allWhole(Map<Integer, ViewConsistencyAudit.ReportedView> told) {
         return told.size() == fleet.count()
                 && told.values().stream()
-                        .allMatch(each -> each.standing().equals("whole") && each.members() == fleet.count())
+                        .allMatch(each -> each.quorumStatus().equals("whole") && each.members() == fleet.count())
                 && told.values().stream()
                                 .map(ViewConsistencyAudit.ReportedView::number)
                                 .distinct()
@@ -193,7 +196,7 @@
             Map<Integer, ViewConsistencyAudit.ReportedView> told, Set<Integer> who, List<String> standings) {
         return who.stream()
                 .allMatch(i ->
-                        told.containsKey(i) && standings.contains(told.get(i).standing()));
+                        told.containsKey(i) && standings.contains(told.get(i).quorumStatus()));
     }
 
     public ViewFaultOutcome play(ViewFaultKind kind, long seed) throws IOException, InterruptedException {
@@ -201,7 +204,7 @@
         audit = new ViewConsistencyAudit();
         logs = logs();
         look();
-        int before = audit.views();
+        int before = audit.viewCount();
         List<String> breaches = new ArrayList<>();
         List<Integer> drawn = new ArrayList<>(fleet.all());
         for (int i = drawn.size() - 1; i > 0; i--) {
@@ -268,21 +271,23 @@
         if (healed == null) {
             breaches.add("after " + patience.toMillis() + " ms not whole under one view: " + standings());
         }
-        breaches.addAll(audit.breaches());
+        breaches.addAll(audit.violations());
         String title = kind.wireName() + ", seed " + seed + "\n" + String.join("\n", breaches);
-        return new ViewFaultOutcome(kind, seed, audit.views() - before, known, healed, breaches, drawn(title));
+        return new ViewFaultOutcome(kind, seed, audit.viewCount() - before, known, healed, breaches, drawn(title));
     }
 
     /** Nobody may have come to these. */
     private void within(List<String> breaches, List<String> standings) {
-        audit.last().values().stream()
-                .filter(told -> standings.contains(told.standing()))
-                .forEach(told -> breaches.add(told.by() + " is " + told.standing()));
+        audit.lastReports().values().stream()
+                .filter(told -> standings.contains(told.quorumStatus()))
+                .forEach(told -> breaches.add(told.by() + " is " + told.quorumStatus()));
     }
 
     private String standings() {
         List<String> all = new ArrayList<>();
-        audit.last().values().forEach(told -> all.add(told.by() + " " + told.standing() + ", view " + told.number()));
+        audit.lastReports()
+                .values()
+                .forEach(told -> all.add(told.by() + " " + told.quorumStatus() + ", view " + told.number()));
         return String.join("; ", all);
     }
 
--- a/src/main/java/merlinlever/testing/faults/audit/AgreementAudit.java
+++ b/src/main/java/merlinlever/testing/faults/audit/AgreementAudit.java
@@ -30,7 +30,7 @@
      * @param reported what the running processes reported
      * @return each violation in one line; empty where all agree
      */
-    public static List<String> breaches(Map<String, Boolean> running, List<ReportedStatus> reported) {
+    public static List<String> findViolations(Map<String, Boolean> running, List<ReportedStatus> reported) {
         List<String> violations = new ArrayList<>();
         for (Map.Entry<String, Boolean> reporter : running.entrySet()) {
             for (Map.Entry<String, Boolean> subject : running.entrySet()) {
--- a/src/main/java/merlinlever/testing/faults/audit/IncarnationAudit.java
+++ b/src/main/java/merlinlever/testing/faults/audit/IncarnationAudit.java
@@ -47,7 +47,7 @@
     }
 
     /** Another run of the process begins, which sends all that follows. */
-    public void began(String name) {
+    public void recordStart(String name) {
         ProcessHistory history = history(name);
         history.highestBefore = Math.max(history.highestBefore, history.highest);
         history.highest = NONE;
@@ -56,7 +56,7 @@
     }
 
     /** The process lost its state on disk: it may repeat incarnations until others tell it of higher ones. */
-    public void forgot(String name) {
+    public void recordStateLoss(String name) {
         ProcessHistory history = history(name);
         history.highestBefore = NONE;
         history.highest = NONE;
@@ -67,7 +67,7 @@
      *
      * @param message null where the datagram could not be decoded
      */
-    public void sent(String name, String to, MembershipMessage message) {
+    public void recordMessage(String name, String to, MembershipMessage message) {
         if (message == null) {
             undecodable++;
             return;
@@ -77,12 +77,12 @@
         }
         for (MemberRecord member : message.records()) {
             if (member.name().equals(name)) {
-                announced(name, to, member.incarnation());
+                recordAnnouncement(name, to, member.incarnation());
             }
         }
     }
 
-    private void announced(String name, String to, long incarnation) {
+    private void recordAnnouncement(String name, String to, long incarnation) {
         ProcessHistory history = history(name);
         announcements++;
         if (incarnation <= history.highestBefore && incarnation > history.highest) {
@@ -98,12 +98,12 @@
     }
 
     /** The first {@value #MAX_LISTED} violations, one line each. */
-    public List<String> breaches() {
+    public List<String> violations() {
         return List.copyOf(violations);
     }
 
     /** How many violations there were. */
-    public long breached() {
+    public long violationCount() {
         return violationCount;
     }
 
--- a/src/main/java/merlinlever/testing/faults/audit/QuotaAudit.java
+++ b/src/main/java/merlinlever/testing/faults/audit/QuotaAudit.java
@@ -38,12 +38,12 @@
     }
 
     /** Changes the quota; to a smaller one once the leases of the larger one have expired. */
-    public void whole(long changed) {
+    public void setQuota(long changed) {
         quota = changed;
     }
 
     /** A call arrived. */
-    public void began(long ms, String by) {
+    public void recordStart(long ms, String by) {
         calls++;
         concurrentCalls++;
         recentCalls.add(ms);
@@ -59,12 +59,12 @@
     }
 
     /** A call ended: answered, abandoned, or its connection closed. */
-    public void ended() {
+    public void recordEnd() {
         concurrentCalls--;
     }
 
     /** The first {@value #MAX_LISTED} violations, one line each. */
-    public List<String> breaches() {
+    public List<String> violations() {
         return List.copyOf(violations);
     }
 
--- a/src/main/java/merlinlever/testing/faults/audit/RequestAudit.java
+++ b/src/main/java/merlinlever/testing/faults/audit/RequestAudit.java
@@ -37,12 +37,12 @@
     }
 
     /** The execution of an attempt started. */
-    public void launched(String id) {
+    public void recordStart(String id) {
         startedAttempts.add(id);
     }
 
     /** The execution of an attempt at that backend took effect. */
-    public void effect(String request, String id, String at) {
+    public void recordEffect(String request, String id, String at) {
         List<String> by = effectsByRequest.computeIfAbsent(request, none -> new ArrayList<>(1));
         by.add(id + " at " + at);
         if (by.size() > 1) {
@@ -60,7 +60,7 @@
      *
      * @param lateMs how long after its deadline and a tolerance; negative if it was in time
      */
-    public void answered(String request, String id, int status, String body, long lateMs) {
+    public void recordResponse(String request, String id, int status, String body, long lateMs) {
         if (lateMs > 0) {
             addViolation("late: try " + id + " of " + request + " was answered " + status + " " + lateMs
                     + " ms after its due time");
@@ -85,7 +85,7 @@
      *
      * @param excused whether its backend was killed or its client had gone
      */
-    public void unanswered(String request, String id, boolean excused, String how) {
+    public void recordNoResponse(String request, String id, boolean excused, String how) {
         unanswered++;
         if (!excused) {
             addViolation("lost: try " + id + " of " + request + ", " + how);
@@ -93,12 +93,12 @@
     }
 
     /** The first {@value #MAX_LISTED} violations, one line each. */
-    public List<String> breaches() {
+    public List<String> violations() {
         return List.copyOf(violations);
     }
 
     /** How many violations there were. */
-    public long breached() {
+    public long violationCount() {
         return violationCount;
     }
 
--- a/src/main/java/merlinlever/testing/faults/audit/RouteExportAudit.java
+++ b/src/main/java/merlinlever/testing/faults/audit/RouteExportAudit.java
@@ -56,24 +56,24 @@
      *
      * @param restrictions null withdraws the routes
      */
-    public void said(long ms, String origin, Restrictions restrictions) {
+    public void recordRestrictions(long ms, String origin, Restrictions restrictions) {
         publishedByOrigin
                 .computeIfAbsent(origin, site -> new ArrayList<>())
                 .add(new PublishedRestrictions(ms, Optional.ofNullable(restrictions)));
     }
 
     /** The site is known to leak routes: what it publishes against the rules is only counted. */
-    public void leaks(String site) {
+    public void markLeaking(String site) {
         leakingSites.add(site);
     }
 
     /** How many routes leaking sites published against the rules. */
-    public long leaked() {
+    public long leakCount() {
         return leaks;
     }
 
     /** A site received the table of another. */
-    public void table(long ms, String from, String to, RouteTable table) {
+    public void recordTable(long ms, String from, String to, RouteTable table) {
         tables++;
         for (Route each : table.routes().values()) {
             if (!each.path().get(0).equals(from)) {
@@ -95,7 +95,7 @@
      * @param path the sites that pass it on, the origin of the route last
      * @param effect whether the call is not idempotent
      */
-    public void call(long ms, String from, List<String> path, boolean effect) {
+    public void recordCall(long ms, String from, List<String> path, boolean effect) {
         calls++;
         lastCallByOrigin.put(path.get(path.size() - 1), ms);
         check(from, path, ms, path.size() * leaseMs, effect)
@@ -148,12 +148,12 @@
     }
 
     /** A request arrived, which has to end by that time. */
-    public void begun(long id, long until) {
+    public void recordStart(long id, long until) {
         openRequests.put(id, until);
     }
 
     /** A request ended, with any outcome. */
-    public void ended(long ms, long id) {
+    public void recordEnd(long ms, long id) {
         Long until = openRequests.remove(id);
         if (until == null || until < ms) {
             addViolation(ms + ": operation " + id + (until == null ? " ended twice" : " ended late"));
@@ -161,7 +161,7 @@
     }
 
     /** A call of the request took effect at a site. */
-    public void effect(long ms, long id, String where) {
+    public void recordEffect(long ms, long id, String where) {
         String before = effectsByRequest.putIfAbsent(id, where);
         if (before != null) {
             addViolation(ms + ": operation " + id + " had its effect at " + before + " and at " + where);
@@ -169,7 +169,7 @@
     }
 
     /** The run is over: requests that should have ended are lost. */
-    public void over(long ms) {
+    public void recordRunEnd(long ms) {
         openRequests.forEach((id, until) -> {
             if (until < ms) {
                 addViolation(ms + ": operation " + id + " is lost");
@@ -184,12 +184,12 @@
     }
 
     /** The first {@value #MAX_LISTED} violations, one line each. */
-    public List<String> breaches() {
+    public List<String> violations() {
         return List.copyOf(violations);
     }
 
     /** When the last call along a route of the origin was sent, in milliseconds; 0 for never. */
-    public long lastOf(String origin) {
+    public long lastCallMs(String origin) {
         return lastCallByOrigin.getOrDefault(origin, 0L);
     }
 
--- a/src/main/java/merlinlever/testing/faults/audit/ViewConsistencyAudit.java
+++ b/src/main/java/merlinlever/testing/faults/audit/ViewConsistencyAudit.java
@@ -15,13 +15,13 @@
      * The view of one backend.
      *
      * @param by who reported it
-     * @param life counts the runs of its process
-     * @param standing its quorum status
+     * @param run counts the runs of its process
+     * @param quorumStatus its quorum status
      * @param number of the view, 0 for none
      * @param digest of the number and the members
      * @param members how many there are
      */
-    public record ReportedView(String by, int life, String standing, long number, String digest, int members) {}
+    public record ReportedView(String by, int run, String quorumStatus, long number, String digest, int members) {}
 
     static final int MAX_VIEWS = 10_000;
 
@@ -30,9 +30,9 @@
     private final List<String> violations = new ArrayList<>();
 
     /** A backend reported its view. */
-    public void told(ReportedView now) {
+    public void recordReport(ReportedView now) {
         ReportedView before = lastByBackend.put(now.by(), now);
-        if (before != null && before.life() == now.life() && now.number() < before.number()) {
+        if (before != null && before.run() == now.run() && now.number() < before.number()) {
             violations.add(now.by() + " went back from view " + before.number() + " to " + now.number());
         }
         if (now.number() == 0 || viewsByNumber.size() >= MAX_VIEWS) {
@@ -47,17 +47,17 @@
     }
 
     /** All violations, one line each. */
-    public List<String> breaches() {
+    public List<String> violations() {
         return List.copyOf(violations);
     }
 
     /** How many different views were reported. */
-    public int views() {
+    public int viewCount() {
         return viewsByNumber.size();
     }
 
     /** The last report of each backend, by its name. */
-    public Map<String, ReportedView> last() {
+    public Map<String, ReportedView> lastReports() {
         return new TreeMap<>(lastByBackend);
     }
 }
--- a/src/main/java/merlinlever/testing/faults/disk/CrashStates.java
+++ b/src/main/java/merlinlever/testing/faults/disk/CrashStates.java
@@ -30,7 +30,7 @@
 public final class CrashStates {
 
     /** One state: what the folder holds, and how it came to be. */
-    public record CrashState(int cut, String how, SortedMap<String, byte[]> files) {}
+    public record CrashState(int cut, String description, SortedMap<String, byte[]> files) {}
 
     /** A line of the record that is not one the seam writes. */
     public static final class MalformedRecordingException extends Exception {
@@ -91,7 +91,7 @@
     }
 
     /** Of the lines of a record; a last line without its end (the process was killed while telling it) is left out. */
-    public static CrashStates of(String record) throws MalformedRecordingException {
+    public static CrashStates parse(String record) throws MalformedRecordingException {
         List<String> lines = new ArrayList<>(Arrays.asList(record.split("\n", -1)));
         lines.remove(lines.size() - 1);
         List<RecordedOperation> ops = new ArrayList<>();
@@ -165,9 +165,9 @@
     }
 
     /** The states after the last operation of the record: what the folder may hold after a power loss now. */
-    public List<CrashState> last() throws MalformedRecordingException {
+    public List<CrashState> finalStates() throws MalformedRecordingException {
         List<CrashState> last = new ArrayList<>();
-        each(last::add, ops.size());
+        forEachState(last::add, ops.size());
         return last;
     }
 
@@ -182,12 +182,12 @@
     }
 
     /** Every state, cut by cut, each once; returns how many. */
-    public int each(Consumer<CrashState> into) throws MalformedRecordingException {
-        return each(into, -1);
+    public int forEachState(Consumer<CrashState> into) throws MalformedRecordingException {
+        return forEachState(into, -1);
     }
 
     /** Of one cut alone where it is not below 0. */
-    private int each(Consumer<CrashState> into, int onlyCut) throws MalformedRecordingException {
+    private int forEachState(Consumer<CrashState> into, int onlyCut) throws MalformedRecordingException {
         Map<String, FileContents> names = new LinkedHashMap<>();
         Map<String, FileContents> forcedNames = new LinkedHashMap<>();
         List<DirectoryChange> namings = new ArrayList<>();
--- a/src/main/java/merlinlever/testing/faults/disk/StateRestorer.java
+++ b/src/main/java/merlinlever/testing/faults/disk/StateRestorer.java
@@ -11,7 +11,7 @@
 
     private StateRestorer() {}
 
-    public static void into(Path folder, CrashStates.CrashState state) throws IOException {
+    public static void restore(Path folder, CrashStates.CrashState state) throws IOException {
         Files.createDirectories(folder);
         try (Stream<Path> there = Files.list(folder)) {
             for (Path file : (Iterable<Path>) there::iterator) {
--- a/src/main/java/merlinlever/testing/faults/link/LinkFaults.java
+++ b/src/main/java/merlinlever/testing/faults/link/LinkFaults.java
@@ -86,7 +86,7 @@
     }
 
     /** The faults of the link now. */
-    public LinkFault of(int from, int to) {
+    public LinkFault fault(int from, int to) {
         return faults[from][to];
     }
 
@@ -96,7 +96,7 @@
     }
 
     /** Sets the faults of a link both ways. */
-    public void both(int one, int other, LinkFault fault) {
+    public void setBothWays(int one, int other, LinkFault fault) {
         set(one, other, fault);
         set(other, one, fault);
     }
@@ -105,7 +105,7 @@
     public void partition(List<Set<Integer>> sides) {
         for (int i = 0; i < sides.size(); i++) {
             for (Set<Integer> other : sides.subList(i + 1, sides.size())) {
-                sides.get(i).forEach(one -> other.forEach(another -> both(one, another, LinkFault.CUT)));
+                sides.get(i).forEach(one -> other.forEach(another -> setBothWays(one, another, LinkFault.CUT)));
             }
         }
     }
--- a/src/main/java/merlinlever/testing/faults/link/UdpSwitch.java
+++ b/src/main/java/merlinlever/testing/faults/link/UdpSwitch.java
@@ -86,7 +86,7 @@
     }
 
     /** Sets the observer of all datagrams from now on. */
-    public void tap(DatagramTap observer) {
+    public void setTap(DatagramTap observer) {
         tap = observer;
     }
 
@@ -94,7 +94,7 @@
      * Receives all that has been sent by now. Called between two incarnations of a member, it separates their datagrams:
      * on one machine a datagram is at the front before its sender continues.
      */
-    public void takeIn() throws IOException {
+    public void receivePending() throws IOException {
         for (DatagramEndpoint front : fronts) {
             if (!front.receiveAll()) {
                 throw new IOException("more came to a front than it can hold");
--- a/src/main/java/merlinlever/testing/faults/script/FaultScript.java
+++ b/src/main/java/merlinlever/testing/faults/script/FaultScript.java
@@ -49,7 +49,7 @@
     /**
      * One fault at one moment. Empty lists of processes mean all of them.
      *
-     * @param to for a link, the other ends
+     * @param peers for a link, the other ends
      * @param sides for a partition
      * @param share for drop and duplicate, from 0 to 1
      * @param bytes for slow, octets a second
@@ -57,8 +57,8 @@
     public record FaultStep(
             Duration at,
             FaultKind kind,
-            List<Integer> who,
-            List<Integer> to,
+            List<Integer> targets,
+            List<Integer> peers,
             boolean oneWay,
             List<List<Integer>> sides,
             Duration delay,
@@ -71,13 +71,13 @@
         }
 
         /** In one line, as it would be written in a script. */
-        public String told() {
+        public String toYaml() {
             StringBuilder line = new StringBuilder("{at: " + at.toMillis() + "ms, do: " + kind.wireName());
-            if (!who.isEmpty()) {
-                line.append(", who: ").append(who);
+            if (!targets.isEmpty()) {
+                line.append(", who: ").append(targets);
             }
-            if (!to.isEmpty()) {
-                line.append(", to: ").append(to);
+            if (!peers.isEmpty()) {
+                line.append(", to: ").append(peers);
             }
             if (oneWay) {
                 line.append(", one-way: true");
--- a/src/main/java/merlinlever/testing/faults/standins/LoadGenerator.java
+++ b/src/main/java/merlinlever/testing/faults/standins/LoadGenerator.java
@@ -200,9 +200,9 @@
             Duration now = end();
             Duration lateBy = now.minus(sentAt).minus(settings.attemptTimeout).minus(TIMEOUT_TOLERANCE);
             if (status > NO_RESPONSE) {
-                audit.answered(operation, id, status, response.substring(bodyStart), lateBy.toMillis());
+                audit.recordResponse(operation, id, status, response.substring(bodyStart), lateBy.toMillis());
             } else {
-                audit.unanswered(operation, id, isFailureExcused(false), null);
+                audit.recordNoResponse(operation, id, isFailureExcused(false), null);
             }
             connection.close(CloseReason.COMPLETED);
             if (status == HTTP_OK) {
@@ -217,7 +217,7 @@
                 return;
             }
             Duration now = end();
-            audit.unanswered(operation, id, isFailureExcused(excused), reason);
+            audit.recordNoResponse(operation, id, isFailureExcused(excused), reason);
             if (connection != null) {
                 connection.close(CloseReason.COMPLETED);
             }
--- a/src/main/java/merlinlever/testing/faults/standins/SimulatedAgent.java
+++ b/src/main/java/merlinlever/testing/faults/standins/SimulatedAgent.java
@@ -214,12 +214,12 @@
             return;
         }
         String operation = new String(Base64.getDecoder().decode(payload), StandardCharsets.US_ASCII);
-        audit.launched(id);
+        audit.recordStart(id);
         RunningRequest run = new RunningRequest();
         runs.put(id, run);
         run.effect = loop.schedule(runTime.multipliedBy(EFFECT_NUMERATOR).dividedBy(EFFECT_DENOMINATOR), () -> {
             if (keyed) {
-                audit.effect(operation, id, name);
+                audit.recordEffect(operation, id, name);
             }
         });
         Runnable finish = () -> {
--- a/src/main/java/merlinlever/testing/faults/standins/SimulatedRecordsService.java
+++ b/src/main/java/merlinlever/testing/faults/standins/SimulatedRecordsService.java
@@ -107,7 +107,7 @@
 
         private void beginCall(String id) {
             endCall(id);
-            audit.began(loop.clock().uptime().toMillis(), id);
+            audit.recordStart(loop.clock().uptime().toMillis(), id);
             calls.put(id, loop.schedule(responseTime, () -> {
                 endCall(id);
                 connection.write(ByteBuffer.wrap((id + " DONE 2\r\nok\r\n").getBytes(StandardCharsets.US_ASCII)));
@@ -118,7 +118,7 @@
             EventLoop.Timer call = calls.remove(id);
             if (call != null) {
                 call.cancel();
-                audit.ended();
+                audit.recordEnd();
             }
         }
 
--- a/src/main/java/merlinlever/testing/measurement/RecoveryMeasurement.java
+++ b/src/main/java/merlinlever/testing/measurement/RecoveryMeasurement.java
@@ -120,7 +120,7 @@
                     counts[1] / tries,
                     counts[3] / tries,
                     twice,
-                    fleet.rules().breached(),
+                    fleet.rules().violationCount(),
                     thrownAway(fleet));
         } finally {
             TemporaryDirectories.remove(folder);
--- a/src/main/java/merlinlever/testing/measurement/RoutesMeasurement.java
+++ b/src/main/java/merlinlever/testing/measurement/RoutesMeasurement.java
@@ -174,8 +174,8 @@
                 model.site("a").restrict(null);
                 long began = model.now;
                 model.run(4 * LEASE.toMillis(), 4);
-                took[seed] = Math.max(0, model.audit.lastOf("a") - began);
-                breaches += model.audit.breaches().size();
+                took[seed] = Math.max(0, model.audit.lastCallMs("a") - began);
+                breaches += model.audit.violations().size();
             }
             double longest = Arrays.stream(took).max().orElse(0);
             table.row(what, middle(took), longest, 2.0 * LEASE.toMillis(), breaches);
@@ -214,7 +214,7 @@
                     model.later(250, () -> model.site("b").serviceUp = false);
                     model.run(8000, 0);
                     share[without] += model.site("b").served / 200.0 / seeds;
-                    breaches += model.audit.breaches().size();
+                    breaches += model.audit.violations().size();
                 }
             }
             // Half of the calls are orders; three partners of 16 calls a second for each of two tariffs take 96 within
--- a/src/test/java/merlinlever/fleet/recovery/disk/RecoveryFileTest.java
+++ b/src/test/java/merlinlever/fleet/recovery/disk/RecoveryFileTest.java
@@ -62,7 +62,7 @@
                 }
             }
             int[] checked = {0};
-            int generated = CrashStates.of(String.join("\n", recording) + "\n").each(crashState -> {
+            int generated = CrashStates.parse(String.join("\n", recording) + "\n").forEachState(crashState -> {
                 int completed = 0;
                 while (completed < recordingLengths.size() && recordingLengths.get(completed) <= crashState.cut()) {
                     completed++;
@@ -71,7 +71,7 @@
                         completed == 0 ? Optional.empty() : Optional.of(written.get(completed - 1));
                 Optional<PersistedState> next = completed < written.size() ? Optional.of(written.get(completed)) : last;
                 LoadedState loaded = readAfter(crashState, root.resolve("state"));
-                String where = "power loss after line " + crashState.cut() + ", " + crashState.how();
+                String where = "power loss after line " + crashState.cut() + ", " + crashState.description();
                 assertEquals(Optional.empty(), loaded.corruption(), where);
                 assertTrue(
                         loaded.state().equals(last)
@@ -88,7 +88,7 @@
 
     private static LoadedState readAfter(CrashStates.CrashState crashState, Path path) {
         try {
-            StateRestorer.into(path, crashState);
+            StateRestorer.restore(path, crashState);
             try (FileStateDirectory directory = new FileStateDirectory(path)) {
                 return new RecoveryFile(directory).read();
             }
--- a/src/test/java/merlinlever/fleet/recovery/net/RecoveryCoordinatorTest.java
+++ b/src/test/java/merlinlever/fleet/recovery/net/RecoveryCoordinatorTest.java
@@ -301,7 +301,7 @@
         MembershipCodec codec = new MembershipCodec(SECRET.getBytes(StandardCharsets.UTF_8));
         try (UdpSwitch network =
                 new UdpSwitch(loop, new LinkFaults(2), addresses, List.of(loopback(0), loopback(0)), 7)) {
-            network.tap((from, to, bytes) -> audit.sent(nodeName(from), nodeName(to), codec.decode(bytes)));
+            network.setTap((from, to, bytes) -> audit.recordMessage(nodeName(from), nodeName(to), codec.decode(bytes)));
             String proxyAddressOfA = MembershipTransport.formatAddress(network.front(0));
             String proxyAddressOfB = MembershipTransport.formatAddress(network.front(1));
             RecoveryCoordinator a = start(
@@ -323,7 +323,7 @@
             assertEquals(2, starts.size(), "" + log);
             assertEquals(starts.get(0), starts.get(1), "both processes log the same incarnation");
             callOnLoop(() -> {
-                assertEquals(List.of(), audit.breaches());
+                assertEquals(List.of(), audit.violations());
                 assertTrue(
                         audit.counts()[0] >= 4 && audit.counts()[1] == 0, "datagrams were sent and all were decoded");
                 return null;
@@ -337,8 +337,8 @@
 
     private BlockingStateDirectory nextIncarnation(UdpSwitch network, IncarnationAudit audit) throws Exception {
         callOnLoop(() -> {
-            network.takeIn();
-            audit.began("b");
+            network.receivePending();
+            audit.recordStart("b");
             return null;
         });
         return blockingDirectory("b");
--- a/src/test/java/merlinlever/testing/faults/AgentFaultsTest.java
+++ b/src/test/java/merlinlever/testing/faults/AgentFaultsTest.java
@@ -127,7 +127,7 @@
             FaultHarness.HarnessResult verdict =
                     harness.play(new FaultScript.FaultPlan(3, 0x2026L, Duration.ofSeconds(6), SETTLE, drawn));
             assertTrue(verdict.passed(), verdict.told());
-            assertEquals(drawn.stream().map(FaultScript.FaultStep::told).toList(), verdict.played());
+            assertEquals(drawn.stream().map(FaultScript.FaultStep::toYaml).toList(), verdict.played());
         } finally {
             TestDirectories.remove(root);
         }
--- a/src/test/java/merlinlever/testing/faults/PowerLossTest.java
+++ b/src/test/java/merlinlever/testing/faults/PowerLossTest.java
@@ -102,16 +102,16 @@
     @Test
     void theAuditNamesEachBreach() {
         RequestAudit rules = new RequestAudit();
-        rules.launched("t1");
-        rules.effect("op", "t1", "b-0");
+        rules.recordStart("t1");
+        rules.recordEffect("op", "t1", "b-0");
         rules.recordResult("op", "done");
-        rules.answered("op", "t1", 200, "done", -5);
-        rules.unanswered("op", "t2", true, "killed");
-        assertEquals(List.of(), rules.breaches());
-        rules.effect("op", "t3", "b-1");
-        rules.answered("op", "t3", 200, "else", 4);
-        rules.answered("op", "t1", 503, "", -5);
-        rules.unanswered("op", "t4", false, "its connection ended");
+        rules.recordResponse("op", "t1", 200, "done", -5);
+        rules.recordNoResponse("op", "t2", true, "killed");
+        assertEquals(List.of(), rules.violations());
+        rules.recordEffect("op", "t3", "b-1");
+        rules.recordResponse("op", "t3", 200, "else", 4);
+        rules.recordResponse("op", "t1", 503, "", -5);
+        rules.recordNoResponse("op", "t4", false, "its connection ended");
         assertEquals(
                 List.of(
                         "effect twice: operation op, by t1 at b-0 and t3 at b-1",
@@ -119,6 +119,6 @@
                         "no run made it: try t3 of op was satisfied with 'else'",
                         "pushed back after it began: try t1 of op",
                         "lost: try t4 of op, its connection ended"),
-                rules.breaches());
+                rules.violations());
     }
 }
--- a/src/test/java/merlinlever/testing/faults/RoutesModelTest.java
+++ b/src/test/java/merlinlever/testing/faults/RoutesModelTest.java
@@ -36,8 +36,8 @@
 
     private static void passed(RoutesModel model) {
         model.run(6000, 0);
-        model.audit.over(model.now);
-        assertEquals(List.of(), model.audit.breaches());
+        model.audit.recordRunEnd(model.now);
+        assertEquals(List.of(), model.audit.violations());
     }
 
     private static boolean way(RoutesModel model, String site, int node) {
@@ -108,7 +108,7 @@
                         "b a",
                         Relation.CUSTOMER));
         model.site("d").leaks = true;
-        model.audit.leaks("d");
+        model.audit.markLeaking("d");
         model.run(12_000, 1);
         String merged = model.merged(model.site("b").nodes.get(0));
         assertTrue(merged.contains("path=[d]"), merged);
@@ -116,7 +116,7 @@
         assertTrue(model.site("b").nodes.get(0).told.stream().anyMatch(line -> line.endsWith("rule=leak")));
         model.site("b").serviceUp = false;
         model.run(6000, 2);
-        assertTrue(model.audit.leaked() > 100, "the auditor sees the leak");
+        assertTrue(model.audit.leakCount() > 100, "the auditor sees the leak");
         passed(model);
     }
 
--- a/src/test/java/merlinlever/testing/faults/ViewFaultsTest.java
+++ b/src/test/java/merlinlever/testing/faults/ViewFaultsTest.java
@@ -68,12 +68,12 @@
     @Test
     void theAuditNamesEachBreach() {
         ViewConsistencyAudit audit = new ViewConsistencyAudit();
-        audit.told(new ViewConsistencyAudit.ReportedView("b-0", 1, "whole", 5, "d", 2));
-        audit.told(new ViewConsistencyAudit.ReportedView("b-1", 1, "whole", 5, "d", 2));
-        audit.told(new ViewConsistencyAudit.ReportedView("b-0", 2, "returning", 0, "-", 0));
-        assertEquals(List.of(), audit.breaches());
-        audit.told(new ViewConsistencyAudit.ReportedView("b-1", 1, "most", 4, "e", 1));
-        audit.told(new ViewConsistencyAudit.ReportedView("b-0", 2, "most", 5, "f", 1));
-        assertEquals(List.of("b-1 went back from view 5 to 4", "view 5 is d at b-0 and f at b-0"), audit.breaches());
+        audit.recordReport(new ViewConsistencyAudit.ReportedView("b-0", 1, "whole", 5, "d", 2));
+        audit.recordReport(new ViewConsistencyAudit.ReportedView("b-1", 1, "whole", 5, "d", 2));
+        audit.recordReport(new ViewConsistencyAudit.ReportedView("b-0", 2, "returning", 0, "-", 0));
+        assertEquals(List.of(), audit.violations());
+        audit.recordReport(new ViewConsistencyAudit.ReportedView("b-1", 1, "most", 4, "e", 1));
+        audit.recordReport(new ViewConsistencyAudit.ReportedView("b-0", 2, "most", 5, "f", 1));
+        assertEquals(List.of("b-1 went back from view 5 to 4", "view 5 is d at b-0 and f at b-0"), audit.violations());
     }
 }
--- a/src/test/java/merlinlever/testing/faults/disk/CrashStatesTest.java
+++ b/src/test/java/merlinlever/testing/faults/disk/CrashStatesTest.java
@@ -29,7 +29,7 @@
 
     private static List<CrashStates.CrashState> all(String record) throws CrashStates.MalformedRecordingException {
         List<CrashStates.CrashState> states = new ArrayList<>();
-        CrashStates.of(record).each(states::add);
+        CrashStates.parse(record).forEachState(states::add);
         return states;
     }
 
@@ -47,7 +47,7 @@
     void whatWasNotForcedMayBeLostTornOrReordered() throws CrashStates.MalformedRecordingException {
         String record = "had a " + b64("old") + "\nopen b\nwrite b 0 " + b64("one") + "\nwrite b 3 " + b64("two")
                 + "\nforce b\nwrite b 6 " + b64("three") + "\nwrite b 11 " + b64("four") + "\n";
-        List<CrashStates.CrashState> states = CrashStates.of(record).last();
+        List<CrashStates.CrashState> states = CrashStates.parse(record).finalStates();
         // A kill keeps all; a power loss before the folder was forced may not even keep the name b.
         assertTrue(holds(states, 7, Map.of("a", "old", "b", "onetwothreefour")));
         assertTrue(holds(states, 7, Map.of("a", "old")));
@@ -79,7 +79,7 @@
                 + "\nforce x.new\nrename x.new x\n" + "delete x\n";
         List<CrashStates.CrashState> states = all(record);
         assertTrue(holds(states, 5, Map.of("x", "2")));
-        List<CrashStates.CrashState> last = CrashStates.of(record).last();
+        List<CrashStates.CrashState> last = CrashStates.parse(record).finalStates();
         assertTrue(
                 states.stream()
                         .filter(state -> state.cut() == 5)
@@ -95,10 +95,10 @@
                 "line 2: 'scribble' is none of folder, had, open, write, force, truncate, rename, delete, sync",
                 assertThrows(
                                 CrashStates.MalformedRecordingException.class,
-                                () -> CrashStates.of("open a\nscribble a\n"))
+                                () -> CrashStates.parse("open a\nscribble a\n"))
                         .getMessage());
-        assertThrows(CrashStates.MalformedRecordingException.class, () -> CrashStates.of("write a 0 " + b64("x") + "\n")
-                .each(state -> {}));
+        assertThrows(CrashStates.MalformedRecordingException.class, () -> CrashStates.parse("write a 0 " + b64("x") + "\n")
+                .forEachState(state -> {}));
     }
 
     /**
@@ -126,25 +126,25 @@
                     returnedAt.add(lines.size());
                 }
             }
-            CrashStates states = CrashStates.of(String.join("\n", lines) + "\n");
+            CrashStates states = CrashStates.parse(String.join("\n", lines) + "\n");
             int[] checked = {0};
-            int told = states.each(state -> {
+            int told = states.forEachState(state -> {
                 int done = 0;
                 while (done < returnedAt.size() && returnedAt.get(done) <= state.cut()) {
                     done++;
                 }
                 Path folder = root.resolve("state-" + checked[0]++);
                 try {
-                    StateRestorer.into(folder, state);
+                    StateRestorer.restore(folder, state);
                     try (InstanceLedger opened = new InstanceLedger(folder)) {
                         boolean asBefore = agrees(opened, done == 0 ? Map.of() : after.get(done - 1));
                         boolean asNext = done < after.size() && agrees(opened, after.get(done));
                         assertTrue(
                                 asBefore || asNext,
-                                "cut " + state.cut() + " (" + state.how() + ") after " + done + " notes returned");
+                                "cut " + state.cut() + " (" + state.description() + ") after " + done + " notes returned");
                     }
                 } catch (IOException | InstanceLedger.CorruptLedgerException e) {
-                    throw new AssertionError("cut " + state.cut() + " (" + state.how() + "): " + e.getMessage(), e);
+                    throw new AssertionError("cut " + state.cut() + " (" + state.description() + "): " + e.getMessage(), e);
                 } finally {
                     TestDirectories.remove(folder);
                 }
@@ -171,8 +171,8 @@
         try {
             Files.writeString(folder.resolve("stale"), "gone");
             CrashStates.CrashState state =
-                    CrashStates.of("had k " + b64("v") + "\n").last().get(0);
-            StateRestorer.into(folder, state);
+                    CrashStates.parse("had k " + b64("v") + "\n").finalStates().get(0);
+            StateRestorer.restore(folder, state);
             assertArrayEquals("v".getBytes(StandardCharsets.US_ASCII), Files.readAllBytes(folder.resolve("k")));
             assertTrue(Files.notExists(folder.resolve("stale")));
         } finally {
@@ -185,14 +185,14 @@
     void aStartThatWasCutOffWhileItToldWhatWasThereEmptiesNothing() throws Exception {
         String before = "folder f 0\nopen a\nwrite a 0 eA==\nforce a\nsync\n";
         for (String cutOff : List.of("folder f 2\n", "folder f 2\nhad a eA==\n", "folder f 2\nhad a eA==\nhad b e")) {
-            for (CrashStates.CrashState state : CrashStates.of(before + cutOff).last()) {
-                assertEquals(Set.of("a"), state.files().keySet(), cutOff + state.how());
+            for (CrashStates.CrashState state : CrashStates.parse(before + cutOff).finalStates()) {
+                assertEquals(Set.of("a"), state.files().keySet(), cutOff + state.description());
             }
         }
         assertEquals(
                 Set.of("b"),
-                CrashStates.of(before + "folder f 1\nhad b eA==\n")
-                        .last()
+                CrashStates.parse(before + "folder f 1\nhad b eA==\n")
+                        .finalStates()
                         .get(0)
                         .files()
                         .keySet());
--- a/src/test/java/merlinlever/testing/faults/link/LinkFaultsTest.java
+++ b/src/test/java/merlinlever/testing/faults/link/LinkFaultsTest.java
@@ -70,7 +70,7 @@
     void lossAndCopiesComeAtTheirShare() {
         SplittableRandom chance = new SplittableRandom(7);
         LinkFaults links = new LinkFaults(2);
-        links.both(0, 1, new LinkFaults.LinkFault(0.3, 0.2, Duration.ZERO, Duration.ZERO, 0, false));
+        links.setBothWays(0, 1, new LinkFaults.LinkFault(0.3, 0.2, Duration.ZERO, Duration.ZERO, 0, false));
         int arrived = 0;
         for (int i = 0; i < 10_000; i++) {
             arrived += links.datagram(Duration.ZERO, 0, 1, 10, chance).size();
--- a/src/test/java/merlinlever/testing/faults/script/FaultScriptTest.java
+++ b/src/test/java/merlinlever/testing/faults/script/FaultScriptTest.java
@@ -56,13 +56,13 @@
         assertEquals(2 * count, steps.size());
         for (int i = 0; i < steps.size(); i++) {
             FaultScript.FaultStep step = steps.get(i);
-            assertTrue(!step.at().isNegative() && step.at().compareTo(length) <= 0, step.told());
+            assertTrue(!step.at().isNegative() && step.at().compareTo(length) <= 0, step.toYaml());
             assertTrue(i == 0 || steps.get(i - 1).at().compareTo(step.at()) <= 0, "in order");
-            step.who().forEach(member -> assertTrue(member >= 0 && member < processes, step.told()));
+            step.targets().forEach(member -> assertTrue(member >= 0 && member < processes, step.toYaml()));
             if (step.kind() == FaultScript.FaultKind.PARTITION) {
                 assertEquals(
-                        processes, step.sides().stream().mapToInt(List::size).sum(), step.told());
-                assertTrue(step.sides().stream().noneMatch(List::isEmpty) || processes == 1, step.told());
+                        processes, step.sides().stream().mapToInt(List::size).sum(), step.toYaml());
+                assertTrue(step.sides().stream().noneMatch(List::isEmpty) || processes == 1, step.toYaml());
             }
         }
         long undoing = steps.stream()
