--- a/src/main/java/merlinlever/testing/faults/audit/AgreementAudit.java
+++ b/src/main/java/merlinlever/testing/faults/audit/AgreementAudit.java
@@ -6,29 +6,28 @@
 import java.util.Optional;
 
 /**
- * Checks that the processes of a test agree on which of them run: the test knows that, and each running process is asked
- * for the membership status of the others.
+ * Checks that the membership tables of the running processes of a test agree with the actual states of all processes.
  */
 public final class AgreementAudit {
 
     /**
      * The membership status of one process in the table of another.
      *
-     * @param by who reported it
-     * @param of whose it is
-     * @param status alive, suspect, dead, left, or absent where that name is not known
+     * @param by name of the process that reports the status
+     * @param of name of the process that has the status
+     * @param status alive, suspect, dead, left, or absent if the table has no entry
      */
     public record ReportedStatus(String by, String of, String status) {}
 
     private AgreementAudit() {}
 
     /**
-     * Checks, some time after the last fault, that every running process considers every other running one alive, and none
-     * that has ended.
+     * Checks, some time after the last fault, that every running process considers exactly the other running processes
+     * alive.
      *
-     * @param running by the name of each process, whether it runs and is not paused
-     * @param reported what the running processes reported
-     * @return each violation in one line; empty where all agree
+     * @param running whether each process runs and is not paused, by its name
+     * @param reported the statuses that the running processes reported
+     * @return one line for each violation
      */
     public static List<String> findViolations(Map<String, Boolean> running, List<ReportedStatus> reported) {
         List<String> violations = new ArrayList<>();
@@ -46,16 +45,16 @@
     private static Optional<String> check(
             String reporter, String subject, boolean isRunning, List<ReportedStatus> reported) {
         String status = reported.stream()
-                .filter(each -> each.by().equals(reporter) && each.of().equals(subject))
+                .filter(entry -> entry.by().equals(reporter) && entry.of().equals(subject))
                 .map(ReportedStatus::status)
                 .findFirst()
                 .orElse("absent");
         boolean isAlive = status.equals("alive");
         if (isRunning && !isAlive) {
-            return Optional.of(reporter + " holds " + subject + " " + status + ", which runs");
+            return Optional.of(reporter + " reports " + subject + " as " + status + ", but the process runs");
         }
         return !isRunning && isAlive
-                ? Optional.of(reporter + " holds " + subject + " alive, which has ended")
+                ? Optional.of(reporter + " reports " + subject + " as alive, but the process has ended")
                 : Optional.empty();
     }
 }
--- a/src/main/java/merlinlever/testing/faults/audit/IncarnationAudit.java
+++ b/src/main/java/merlinlever/testing/faults/audit/IncarnationAudit.java
@@ -8,22 +8,22 @@
 import merlinlever.fleet.membership.MembershipMessage;
 
 /**
- * Checks by the messages of a process that each run of it announces higher incarnations than the runs before. An incarnation
- * that a run never announced may be used by the next one. The test says when a run begins; all messages of the run before
- * have to be passed in first.
+ * Checks that each run of a process announces higher incarnations than its previous runs. The next run may use an
+ * incarnation that no run has announced. The test reports the start of each run, after all messages of the previous
+ * run.
  */
 public final class IncarnationAudit {
 
     private static final int MAX_LISTED = 20;
     private static final long NONE = -1;
 
-    /** What one process announced. */
+    /** The incarnations that one process announced. */
     private static final class ProcessHistory {
-        /** The highest incarnation of the runs before this one. */
-        private long highestBefore = NONE;
-        /** The highest incarnation of this run. */
+        /** The highest incarnation of the previous runs. */
+        private long previousHighest = NONE;
+        /** The highest incarnation of the current run. */
         private long highest = NONE;
-        /** The last incarnation of this run by receiver; datagrams between two processes are passed in in order. */
+        /** The last incarnation of the current run for each receiver; datagrams to one receiver are recorded in order. */
         private final Map<String, Long> lastByReceiver = new TreeMap<>();
 
         private int run;
@@ -36,78 +36,78 @@
     private long undecodable;
 
     private ProcessHistory history(String name) {
-        return histories.computeIfAbsent(name, none -> new ProcessHistory());
+        return histories.computeIfAbsent(name, key -> new ProcessHistory());
     }
 
-    private void addViolation(String what) {
+    private void addViolation(String description) {
         violationCount++;
         if (violations.size() < MAX_LISTED) {
-            violations.add(what);
+            violations.add(description);
         }
     }
 
-    /** Another run of the process begins, which sends all that follows. */
+    /** Records the start of a new run of the process; the new run sends all messages recorded later. */
     public void recordStart(String name) {
         ProcessHistory history = history(name);
-        history.highestBefore = Math.max(history.highestBefore, history.highest);
+        history.previousHighest = Math.max(history.previousHighest, history.highest);
         history.highest = NONE;
         history.lastByReceiver.clear();
         history.run++;
     }
 
-    /** The process lost its state on disk: it may repeat incarnations until others tell it of higher ones. */
+    /** Records that the process lost its state on disk and may therefore repeat incarnations. */
     public void recordStateLoss(String name) {
         ProcessHistory history = history(name);
-        history.highestBefore = NONE;
+        history.previousHighest = NONE;
         history.highest = NONE;
     }
 
     /**
-     * A process sent a message to another one.
+     * Records a message from one process to another.
      *
-     * @param message null where the datagram could not be decoded
+     * @param message null if the datagram could not be decoded
      */
-    public void recordMessage(String name, String to, MembershipMessage message) {
+    public void recordMessage(String name, String receiver, MembershipMessage message) {
         if (message == null) {
             undecodable++;
             return;
         }
         if (!message.sender().equals(name)) {
-            addViolation(name + " sent under the name of " + message.sender());
+            addViolation(name + " sent a message under the name " + message.sender());
         }
         for (MemberRecord member : message.records()) {
             if (member.name().equals(name)) {
-                recordAnnouncement(name, to, member.incarnation());
+                recordAnnouncement(name, receiver, member.incarnation());
             }
         }
     }
 
-    private void recordAnnouncement(String name, String to, long incarnation) {
+    private void recordAnnouncement(String name, String receiver, long incarnation) {
         ProcessHistory history = history(name);
         announcements++;
-        if (incarnation <= history.highestBefore && incarnation > history.highest) {
-            addViolation(name + " tells incarnation " + incarnation + " in life " + history.run
-                    + "; its lives before told up to " + history.highestBefore);
+        if (incarnation <= history.previousHighest && incarnation > history.highest) {
+            addViolation(name + " announced incarnation " + incarnation + " in run " + history.run
+                    + "; its previous runs announced up to " + history.previousHighest);
         }
         history.highest = Math.max(history.highest, incarnation);
-        Long last = history.lastByReceiver.put(to, incarnation);
+        Long last = history.lastByReceiver.put(receiver, incarnation);
         if (last != null && incarnation < last) {
-            addViolation(name + " tells " + to + " incarnation " + incarnation + " after " + last + " in life "
+            addViolation(name + " announced incarnation " + incarnation + " to " + receiver + " after " + last + " in run "
                     + history.run);
         }
     }
 
-    /** The first {@value #MAX_LISTED} violations, one line each. */
+    /** Returns the first {@value #MAX_LISTED} violations, one line each. */
     public List<String> violations() {
         return List.copyOf(violations);
     }
 
-    /** How many violations there were. */
+    /** Returns the number of violations, including those that are not listed. */
     public long violationCount() {
         return violationCount;
     }
 
-    /** How often a process announced its own incarnation; datagrams that could not be decoded; runs begun. */
+    /** Returns the numbers of announcements, of datagrams that could not be decoded, and of runs. */
     public long[] counts() {
         return new long[] {
             announcements,
--- a/src/main/java/merlinlever/testing/faults/audit/QuotaAudit.java
+++ b/src/main/java/merlinlever/testing/faults/audit/QuotaAudit.java
@@ -6,19 +6,20 @@
 import java.util.List;
 
 /**
- * Checks that all backends together keep a fleet quota, by what the called service sees: concurrent calls, or calls in any
- * second. A call may be delayed on its way by up to {@link #JITTER} ms, so a second is counted as shorter by that.
+ * Checks that all backends together keep a fleet quota on concurrent calls or on calls per second, from the calls that
+ * the downstream service receives. The network may delay a call by up to {@link #JITTER} ms, therefore the rate is
+ * checked over windows that are shorter than a second by {@link #JITTER}.
  */
 public final class QuotaAudit {
 
-    /** The most that a connection on a busy machine delays a call, in milliseconds. */
+    /** Maximum delay of a call by a connection on a busy machine, in milliseconds. */
     public static final long JITTER = 250;
 
     private static final int MAX_LISTED = 20;
     private static final long SECOND_MS = Duration.ofSeconds(1).toMillis();
 
     private final boolean perSecond;
-    /** When the calls of the last second began, in milliseconds. */
+    /** Start times of the calls in the current window, in milliseconds. */
     private final ArrayDeque<Long> recentCalls = new ArrayDeque<>();
 
     private final List<String> violations = new ArrayList<>();
@@ -28,47 +29,47 @@
     private long calls;
 
     /**
-     * An audit of one quota.
+     * Creates the audit of one quota.
      *
-     * @param perSecond whether it limits calls per second in place of concurrent ones
+     * @param perSecond whether the quota limits calls per second instead of concurrent calls
      */
     public QuotaAudit(long quota, boolean perSecond) {
         this.quota = quota;
         this.perSecond = perSecond;
     }
 
-    /** Changes the quota; to a smaller one once the leases of the larger one have expired. */
-    public void setQuota(long changed) {
-        quota = changed;
+    /** Changes the quota; a smaller one is set only after the leases of the larger one have expired. */
+    public void setQuota(long newQuota) {
+        quota = newQuota;
     }
 
-    /** A call arrived. */
-    public void recordStart(long ms, String by) {
+    /** Records the arrival of a call. */
+    public void recordStart(long ms, String callId) {
         calls++;
         concurrentCalls++;
         recentCalls.add(ms);
         while (ms - recentCalls.peek() >= SECOND_MS - JITTER) {
             recentCalls.poll();
         }
-        long now = perSecond ? recentCalls.size() : concurrentCalls;
-        highest = Math.max(highest, now);
-        if (now > quota && violations.size() < MAX_LISTED) {
-            violations.add(now + (perSecond ? " calls within a second" : " calls at once") + " with the call for " + by
-                    + ", over " + quota);
+        long current = perSecond ? recentCalls.size() : concurrentCalls;
+        highest = Math.max(highest, current);
+        if (current > quota && violations.size() < MAX_LISTED) {
+            violations.add(current + (perSecond ? " calls within a second" : " concurrent calls") + " with call " + callId
+                    + ", over the quota of " + quota);
         }
     }
 
-    /** A call ended: answered, abandoned, or its connection closed. */
+    /** Records the end of a call: answered, cancelled, or its connection closed. */
     public void recordEnd() {
         concurrentCalls--;
     }
 
-    /** The first {@value #MAX_LISTED} violations, one line each. */
+    /** Returns the first {@value #MAX_LISTED} violations, one line each. */
     public List<String> violations() {
         return List.copyOf(violations);
     }
 
-    /** The highest number that counted against the quota, and how many calls there were. */
+    /** Returns the highest number of calls that counted against the quota, and the total number of calls. */
     public long[] counts() {
         return new long[] {highest, calls};
     }
--- a/src/main/java/merlinlever/testing/faults/audit/RequestAudit.java
+++ b/src/main/java/merlinlever/testing/faults/audit/RequestAudit.java
@@ -9,14 +9,14 @@
 import java.util.Set;
 
 /**
- * Checks the rules for requests by what is visible outside the backends: what clients sent and were answered, and what the
- * agents ran. A request may have several attempts; it takes effect at most once, its result is one that a run produced, and
- * each attempt is answered in time.
+ * Checks the safety rules for requests from outside the backends, using the attempts and responses of the clients and
+ * the executions of the agents. A request, which may have several attempts, takes effect at most once; its result comes
+ * from an execution; and each attempt is answered in time.
  */
 public final class RequestAudit {
 
     private static final int MAX_LISTED = 50;
-    /** RFC 6585. */
+    /** Status code of RFC 6585. */
     private static final int HTTP_TOO_MANY_REQUESTS = 429;
 
     private final Map<String, List<String>> effectsByRequest = new HashMap<>();
@@ -29,51 +29,51 @@
     private long failed;
     private long unanswered;
 
-    private void addViolation(String what) {
+    private void addViolation(String description) {
         violationCount++;
         if (violations.size() < MAX_LISTED) {
-            violations.add(what);
+            violations.add(description);
         }
     }
 
-    /** The execution of an attempt started. */
-    public void recordStart(String id) {
-        startedAttempts.add(id);
+    /** Records the start of an execution. */
+    public void recordStart(String attempt) {
+        startedAttempts.add(attempt);
     }
 
-    /** The execution of an attempt at that backend took effect. */
-    public void recordEffect(String request, String id, String at) {
-        List<String> by = effectsByRequest.computeIfAbsent(request, none -> new ArrayList<>(1));
-        by.add(id + " at " + at);
-        if (by.size() > 1) {
-            addViolation("effect twice: operation " + request + ", by " + String.join(" and ", by));
+    /** Records that an execution of the request took effect. */
+    public void recordEffect(String request, String attempt, String backend) {
+        List<String> effects = effectsByRequest.computeIfAbsent(request, key -> new ArrayList<>(1));
+        effects.add(attempt + " at " + backend);
+        if (effects.size() > 1) {
+            addViolation("duplicate effect: request " + request + ", by attempts " + String.join(" and ", effects));
         }
     }
 
-    /** An execution of the request produced that result. */
+    /** Records the result of an execution of the request. */
     public void recordResult(String request, String result) {
-        resultsByRequest.computeIfAbsent(request, none -> new HashSet<>(2)).add(result);
+        resultsByRequest.computeIfAbsent(request, key -> new HashSet<>(2)).add(result);
     }
 
     /**
-     * An attempt was answered.
+     * Records the response to an attempt.
      *
-     * @param lateMs how long after its deadline and a tolerance; negative if it was in time
+     * @param lateMs time since the deadline, less a tolerance; negative if the response was in time
      */
-    public void recordResponse(String request, String id, int status, String body, long lateMs) {
+    public void recordResponse(String request, String attempt, int status, String body, long lateMs) {
         if (lateMs > 0) {
-            addViolation("late: try " + id + " of " + request + " was answered " + status + " " + lateMs
-                    + " ms after its due time");
+            addViolation("late response: attempt " + attempt + " of " + request + " got status " + status + " " + lateMs
+                    + " ms after its deadline");
         }
         if (status == HttpURLConnection.HTTP_OK) {
             served++;
             if (!resultsByRequest.getOrDefault(request, Set.of()).contains(body)) {
-                addViolation("no run made it: try " + id + " of " + request + " was satisfied with '" + body + "'");
+                addViolation("unknown result: attempt " + attempt + " of " + request + " got '" + body + "', which no execution produced");
             }
         } else if (status == HttpURLConnection.HTTP_UNAVAILABLE || status == HTTP_TOO_MANY_REQUESTS) {
             rejected++;
-            if (startedAttempts.contains(id)) {
-                addViolation("pushed back after it began: try " + id + " of " + request);
+            if (startedAttempts.contains(attempt)) {
+                addViolation("rejected after the start of its execution: attempt " + attempt + " of " + request);
             }
         } else {
             failed++;
@@ -81,28 +81,28 @@
     }
 
     /**
-     * An attempt ended without an answer.
+     * Records an attempt that ended without a response.
      *
-     * @param excused whether its backend was killed or its client had gone
+     * @param excused whether a fault explains the missing response
      */
-    public void recordNoResponse(String request, String id, boolean excused, String how) {
+    public void recordNoResponse(String request, String attempt, boolean excused, String reason) {
         unanswered++;
         if (!excused) {
-            addViolation("lost: try " + id + " of " + request + ", " + how);
+            addViolation("no response: attempt " + attempt + " of " + request + ", " + reason);
         }
     }
 
-    /** The first {@value #MAX_LISTED} violations, one line each. */
+    /** Returns the first {@value #MAX_LISTED} violations, one line each. */
     public List<String> violations() {
         return List.copyOf(violations);
     }
 
-    /** How many violations there were. */
+    /** Returns the number of violations, including those that are not listed. */
     public long violationCount() {
         return violationCount;
     }
 
-    /** Attempts served, rejected, failed and unanswered; requests that took effect. */
+    /** Returns the numbers of attempts served, rejected, failed and unanswered, and of requests that took effect. */
     public long[] counts() {
         return new long[] {served, rejected, failed, unanswered, effectsByRequest.size()};
     }
--- a/src/main/java/merlinlever/testing/faults/audit/RouteExportAudit.java
+++ b/src/main/java/merlinlever/testing/faults/audit/RouteExportAudit.java
@@ -15,22 +15,22 @@
 import merlinlever.fleet.routes.RouteTable;
 
 /**
- * Checks that sites respect the restrictions of the routes' origins, by what passes between them: a table or call reaches a
- * site only if that was allowed at some moment within the last leases (one for each hop), no path has a loop, no request
- * takes effect twice, and every request ends. Its rules are written independently of the program.
+ * Checks the tables and calls between sites against the restrictions that the origins of the routes publish. A table or
+ * call reaches a site only if the restrictions allowed it within the last leases (one for each hop), no path has a loop,
+ * no request takes effect twice, and every request ends. The rules are implemented independently of the program.
  */
 public final class RouteExportAudit {
 
     private static final int MAX_LISTED = 20;
 
-    /** The restrictions of an origin from that time on; empty while its route is withdrawn. */
+    /** The restrictions of an origin, valid from a time on; empty after a withdrawal of its routes. */
     private record PublishedRestrictions(long ms, Optional<Restrictions> restrictions) {}
 
     private final BiFunction<String, String, Relation> relations;
     private final long leaseMs;
     private final Map<String, List<PublishedRestrictions>> publishedByOrigin = new TreeMap<>();
     private final Map<Long, String> effectsByRequest = new TreeMap<>();
-    /** The latest end of each open request, in milliseconds. */
+    /** The deadline of each open request, in milliseconds. */
     private final Map<Long, Long> openRequests = new TreeMap<>();
 
     private final List<String> violations = new ArrayList<>();
@@ -41,10 +41,10 @@
     private long leaks;
 
     /**
-     * An audit of one network of sites.
+     * Creates the audit of one network of sites.
      *
-     * @param relations what the second site is to the first; null where they are no partners
-     * @param leaseMs for how long a published table holds
+     * @param relations the relation of the second site to the first; null if they are not partners
+     * @param leaseMs validity of a published table
      */
     public RouteExportAudit(BiFunction<String, String, Relation> relations, long leaseMs) {
         this.relations = relations;
@@ -52,9 +52,9 @@
     }
 
     /**
-     * The origin publishes its routes with these restrictions from now on.
+     * Records the restrictions that the origin publishes with its routes from now on.
      *
-     * @param restrictions null withdraws the routes
+     * @param restrictions null if the origin withdraws its routes
      */
     public void recordRestrictions(long ms, String origin, Restrictions restrictions) {
         publishedByOrigin
@@ -62,50 +62,50 @@
                 .add(new PublishedRestrictions(ms, Optional.ofNullable(restrictions)));
     }
 
-    /** The site is known to leak routes: what it publishes against the rules is only counted. */
+    /** Marks a site that leaks routes on purpose: its violations in tables are counted separately. */
     public void markLeaking(String site) {
         leakingSites.add(site);
     }
 
-    /** How many routes leaking sites published against the rules. */
+    /** Returns the number of routes that leaking sites published against the rules. */
     public long leakCount() {
         return leaks;
     }
 
-    /** A site received the table of another. */
+    /** Records a table that a site received from another. */
     public void recordTable(long ms, String from, String to, RouteTable table) {
         tables++;
-        for (Route each : table.routes().values()) {
-            if (!each.path().get(0).equals(from)) {
-                addViolation(ms + ": table of " + from + " to " + to + " has a route of "
-                        + each.path().get(0));
+        for (Route route : table.routes().values()) {
+            if (!route.path().get(0).equals(from)) {
+                addViolation(ms + ": table of " + from + " to " + to + " has a route that starts at "
+                        + route.path().get(0));
             }
-            Optional<String> violation = check(to, each.path(), ms, (each.path().size() - 1) * leaseMs, false);
+            Optional<String> violation = check(to, route.path(), ms, (route.path().size() - 1) * leaseMs, false);
             if (violation.isPresent() && leakingSites.contains(from)) {
                 leaks++;
             } else {
-                violation.ifPresent(what -> addViolation(ms + ": a table of " + from + " to " + what));
+                violation.ifPresent(description -> addViolation(ms + ": a table of " + from + " to " + description));
             }
         }
     }
 
     /**
-     * A site sent a call along a path.
+     * Records a call that a site sent along a path.
      *
-     * @param path the sites that pass it on, the origin of the route last
-     * @param effect whether the call is not idempotent
+     * @param path the sites that relay the call; the last one is the origin of the route
+     * @param effect whether the call has an effect, that is, it is not idempotent
      */
     public void recordCall(long ms, String from, List<String> path, boolean effect) {
         calls++;
         lastCallByOrigin.put(path.get(path.size() - 1), ms);
         check(from, path, ms, path.size() * leaseMs, effect)
-                .ifPresent(what -> addViolation(ms + ": a call of " + what));
+                .ifPresent(description -> addViolation(ms + ": a call of " + description));
     }
 
-    /** What is wrong with a path that reaches a site at that time; empty where it was allowed within the leases. */
+    /** Describes the violation by a path that reaches a site; empty if the path was allowed within the leases. */
     private Optional<String> check(String to, List<String> path, long ms, long leases, boolean effect) {
         if (path.contains(to) || new HashSet<>(path).size() < path.size()) {
-            return Optional.of(to + " goes round: " + path);
+            return Optional.of(to + " is reached by a path with a loop: " + path);
         }
         List<PublishedRestrictions> published = publishedByOrigin.getOrDefault(path.get(path.size() - 1), List.of());
         for (int i = 0; i < published.size(); i++) {
@@ -116,7 +116,7 @@
                 return Optional.empty();
             }
         }
-        return Optional.of(to + " along " + path + " is forbidden since more than " + leases + " ms");
+        return Optional.of(to + " along " + path + " has been forbidden for more than " + leases + " ms");
     }
 
     private boolean allows(Restrictions restrictions, String to, List<String> path, boolean effect) {
@@ -127,7 +127,7 @@
                 && allowsHops(restrictions, to, path);
     }
 
-    /** Checks the hops from the origin on: after a hop to a customer or peer only customers may follow. */
+    /** Checks the hops from the origin on: only customers may follow a hop to a customer or peer. */
     private boolean allowsHops(Restrictions restrictions, String to, List<String> path) {
         boolean onlyCustomers = false;
         for (int i = path.size() - 1; i >= 0; i--) {
@@ -147,53 +147,53 @@
         return true;
     }
 
-    /** A request arrived, which has to end by that time. */
-    public void recordStart(long id, long until) {
-        openRequests.put(id, until);
+    /** Records the arrival of a request, which must end by the deadline. */
+    public void recordStart(long id, long deadlineMs) {
+        openRequests.put(id, deadlineMs);
     }
 
-    /** A request ended, with any outcome. */
+    /** Records the end of a request, with any outcome. */
     public void recordEnd(long ms, long id) {
-        Long until = openRequests.remove(id);
-        if (until == null || until < ms) {
-            addViolation(ms + ": operation " + id + (until == null ? " ended twice" : " ended late"));
+        Long deadlineMs = openRequests.remove(id);
+        if (deadlineMs == null || deadlineMs < ms) {
+            addViolation(ms + ": request " + id + (deadlineMs == null ? " ended twice" : " ended after its deadline"));
         }
     }
 
-    /** A call of the request took effect at a site. */
-    public void recordEffect(long ms, long id, String where) {
-        String before = effectsByRequest.putIfAbsent(id, where);
-        if (before != null) {
-            addViolation(ms + ": operation " + id + " had its effect at " + before + " and at " + where);
+    /** Records that a call of the request took effect at a site. */
+    public void recordEffect(long ms, long id, String site) {
+        String previousSite = effectsByRequest.putIfAbsent(id, site);
+        if (previousSite != null) {
+            addViolation(ms + ": request " + id + " took effect at " + previousSite + " and at " + site);
         }
     }
 
-    /** The run is over: requests that should have ended are lost. */
+    /** Reports the requests that are open after their deadline at the end of the run. */
     public void recordRunEnd(long ms) {
-        openRequests.forEach((id, until) -> {
-            if (until < ms) {
-                addViolation(ms + ": operation " + id + " is lost");
+        openRequests.forEach((id, deadlineMs) -> {
+            if (deadlineMs < ms) {
+                addViolation(ms + ": request " + id + " has not ended");
             }
         });
     }
 
-    private void addViolation(String what) {
+    private void addViolation(String description) {
         if (violations.size() < MAX_LISTED) {
-            violations.add(what);
+            violations.add(description);
         }
     }
 
-    /** The first {@value #MAX_LISTED} violations, one line each. */
+    /** Returns the first {@value #MAX_LISTED} violations, one line each. */
     public List<String> violations() {
         return List.copyOf(violations);
     }
 
-    /** When the last call along a route of the origin was sent, in milliseconds; 0 for never. */
+    /** Returns the time of the last call along a route of the origin, in milliseconds; 0 without a call. */
     public long lastCallMs(String origin) {
         return lastCallByOrigin.getOrDefault(origin, 0L);
     }
 
-    /** How many calls and tables passed between sites. */
+    /** Returns the numbers of calls and tables between sites. */
     public long[] counts() {
         return new long[] {calls, tables};
     }
--- a/src/main/java/merlinlever/testing/faults/audit/ViewConsistencyAudit.java
+++ b/src/main/java/merlinlever/testing/faults/audit/ViewConsistencyAudit.java
@@ -6,20 +6,20 @@
 import java.util.TreeMap;
 
 /**
- * Checks the fleet views that backends report: a number stands for one membership, whoever reports it, and the number never
- * decreases within a run of a process. At most {@value #MAX_VIEWS} views are compared.
+ * Checks the fleet views that backends report: all backends report the same membership for a view number, and the number
+ * never decreases within a run of a process. At most {@value #MAX_VIEWS} views are compared.
  */
 public final class ViewConsistencyAudit {
 
     /**
-     * The view of one backend.
+     * The view that one backend reports.
      *
-     * @param by who reported it
-     * @param run counts the runs of its process
+     * @param by name of the backend
+     * @param run number of the run of its process
      * @param quorumStatus its quorum status
-     * @param number of the view, 0 for none
+     * @param number of the view; 0 without a view
      * @param digest of the number and the members
-     * @param members how many there are
+     * @param members number of members
      */
     public record ReportedView(String by, int run, String quorumStatus, long number, String digest, int members) {}
 
@@ -29,34 +29,34 @@
     private final Map<String, ReportedView> lastByBackend = new TreeMap<>();
     private final List<String> violations = new ArrayList<>();
 
-    /** A backend reported its view. */
-    public void recordReport(ReportedView now) {
-        ReportedView before = lastByBackend.put(now.by(), now);
-        if (before != null && before.run() == now.run() && now.number() < before.number()) {
-            violations.add(now.by() + " went back from view " + before.number() + " to " + now.number());
+    /** Records the view that a backend reports. */
+    public void recordReport(ReportedView report) {
+        ReportedView previous = lastByBackend.put(report.by(), report);
+        if (previous != null && previous.run() == report.run() && report.number() < previous.number()) {
+            violations.add(report.by() + " went back from view " + previous.number() + " to " + report.number());
         }
-        if (now.number() == 0 || viewsByNumber.size() >= MAX_VIEWS) {
+        if (report.number() == 0 || viewsByNumber.size() >= MAX_VIEWS) {
             return;
         }
-        ReportedView other = viewsByNumber.putIfAbsent(now.number(), now);
-        if (other != null
-                && (other.members() != now.members() || !other.digest().equals(now.digest()))) {
-            violations.add("view " + now.number() + " is " + other.digest() + " at " + other.by() + " and "
-                    + now.digest() + " at " + now.by());
+        ReportedView first = viewsByNumber.putIfAbsent(report.number(), report);
+        if (first != null
+                && (first.members() != report.members() || !first.digest().equals(report.digest()))) {
+            violations.add("view " + report.number() + " is " + first.digest() + " at " + first.by() + " and "
+                    + report.digest() + " at " + report.by());
         }
     }
 
-    /** All violations, one line each. */
+    /** Returns all violations, one line each. */
     public List<String> violations() {
         return List.copyOf(violations);
     }
 
-    /** How many different views were reported. */
+    /** Returns the number of different views that were reported. */
     public int viewCount() {
         return viewsByNumber.size();
     }
 
-    /** The last report of each backend, by its name. */
+    /** Returns the last report of each backend, by name. */
     public Map<String, ReportedView> lastReports() {
         return new TreeMap<>(lastByBackend);
     }
--- a/src/main/java/merlinlever/testing/faults/audit/package-info.java
+++ b/src/main/java/merlinlever/testing/faults/audit/package-info.java
@@ -1,2 +1,2 @@
-/** Checks of what the processes of a test do and report against what the test itself observes; without input or output. */
+/** Audits of the processes of a test against the observations of the test; no I/O. */
 package merlinlever.testing.faults.audit;
--- a/src/main/java/merlinlever/testing/measurement/RecoveryMeasurement.java
+++ b/src/main/java/merlinlever/testing/measurement/RecoveryMeasurement.java
@@ -112,7 +112,7 @@
             long[] counts = fleet.rules().counts();
             double tries = counts[0] + counts[1] + counts[2] + counts[3];
             long twice = breaches.stream()
-                    .filter(breach -> breach.startsWith("effect twice"))
+                    .filter(breach -> breach.startsWith("duplicate effect"))
                     .count();
             return new RecoveryResult(
                     middle(first),
--- a/src/test/java/merlinlever/testing/faults/PowerLossTest.java
+++ b/src/test/java/merlinlever/testing/faults/PowerLossTest.java
@@ -89,11 +89,11 @@
             power.begin();
             List<String> found = new ArrayList<>();
             for (int i = 0;
-                    i < 8 && found.stream().noneMatch(breach -> breach.startsWith("effect twice: operation "));
+                    i < 8 && found.stream().noneMatch(breach -> breach.startsWith("duplicate effect: request "));
                     i++) {
                 found.addAll(power.play(PowerLoss.PowerLossKind.ALL, i).breaches());
             }
-            assertTrue(found.stream().anyMatch(breach -> breach.startsWith("effect twice: operation ")), "" + found);
+            assertTrue(found.stream().anyMatch(breach -> breach.startsWith("duplicate effect: request ")), "" + found);
         } finally {
             TestDirectories.remove(root);
         }
@@ -114,11 +114,11 @@
         rules.recordNoResponse("op", "t4", false, "its connection ended");
         assertEquals(
                 List.of(
-                        "effect twice: operation op, by t1 at b-0 and t3 at b-1",
-                        "late: try t3 of op was answered 200 4 ms after its due time",
-                        "no run made it: try t3 of op was satisfied with 'else'",
-                        "pushed back after it began: try t1 of op",
-                        "lost: try t4 of op, its connection ended"),
+                        "duplicate effect: request op, by attempts t1 at b-0 and t3 at b-1",
+                        "late response: attempt t3 of op got status 200 4 ms after its deadline",
+                        "unknown result: attempt t3 of op got 'else', which no execution produced",
+                        "rejected after the start of its execution: attempt t1 of op",
+                        "no response: attempt t4 of op, its connection ended"),
                 rules.violations());
     }
 }
