--- a/src/main/java/merlinlever/testing/faults/link/LinkFaults.java
+++ b/src/main/java/merlinlever/testing/faults/link/LinkFaults.java
@@ -9,26 +9,27 @@
 import java.util.SplittableRandom;
 
 /**
- * The faults of each one-way link between the processes of a test, which may change while they run. Without input, output,
- * thread or clock: the proxies ask when a datagram or a part of a stream leaves the link, and carry it out.
+ * The faults of each one-way link between the processes of a test, which may change during the test. This class has no
+ * I/O, thread or clock: it computes when a datagram or a part of a stream leaves a link, and the proxies forward the data
+ * at that time.
  */
 public final class LinkFaults {
 
     /**
      * The faults of one link.
      *
-     * @param drop the fraction of datagrams that are lost
-     * @param duplicate the fraction of datagrams that arrive twice
-     * @param delay added to everything
-     * @param jitter the most that is added at random; datagrams may overtake each other by it, a stream keeps its order
-     * @param bytesPerSecond the bandwidth, 0 for no limit
-     * @param cut whether nothing passes: datagrams are lost, a stream is held, as TCP sees a partition
+     * @param drop fraction of datagrams that are lost
+     * @param duplicate fraction of datagrams that arrive twice
+     * @param delay fixed delay of all data
+     * @param jitter maximum random delay; it may reorder datagrams but not the bytes of a stream
+     * @param bytesPerSecond bandwidth; 0 for no limit
+     * @param cut whether the link is partitioned: datagrams are lost, and streams are held
      */
     public record LinkFault(
             double drop, double duplicate, Duration delay, Duration jitter, long bytesPerSecond, boolean cut) {
         /** A link without faults. */
         public static final LinkFault NONE = new LinkFault(0, 0, Duration.ZERO, Duration.ZERO, 0, false);
-        /** A link that nothing passes. */
+        /** A partitioned link. */
         public static final LinkFault CUT = new LinkFault(0, 0, Duration.ZERO, Duration.ZERO, 0, true);
 
         /** Checks the ranges. */
@@ -38,21 +39,21 @@
                     || jitter.isNegative()
                     || bytesPerSecond < 0) {
                 throw new IllegalArgumentException(
-                        "drop and duplicate from 0 to 1, delay, jitter and bytes a second not below 0");
+                        "drop and duplicate must be from 0 to 1; delay, jitter and bytesPerSecond must not be negative");
             }
         }
 
-        /** A link with a delay and no other fault. */
+        /** Creates a fault that delays data. */
         public static LinkFault delayed(Duration delay, Duration jitter) {
             return new LinkFault(0, 0, delay, jitter, 0, false);
         }
 
-        /** A link that loses a fraction of the datagrams. */
+        /** Creates a fault that loses a fraction of the datagrams. */
         public static LinkFault lossy(double drop) {
             return new LinkFault(drop, 0, Duration.ZERO, Duration.ZERO, 0, false);
         }
 
-        /** A link with a limited bandwidth. */
+        /** Creates a fault that limits the bandwidth. */
         public static LinkFault slow(long bytesPerSecond) {
             return new LinkFault(0, 0, Duration.ZERO, Duration.ZERO, bytesPerSecond, false);
         }
@@ -61,14 +62,14 @@
     private static final long NANOS_PER_SECOND = Duration.ofSeconds(1).toNanos();
 
     private final int members;
-    /** By the indexes of the sender and the receiver, as the following. */
+    /** Indexed by sender and receiver, like the other arrays. */
     private final LinkFault[][] faults;
-    /** When a link has carried what it was given, for the bandwidth and for the order of a stream. */
+    /** Time at which each link has sent all data; limits the bandwidth and keeps streams in order. */
     private final Duration[][] freeAt;
 
     private final long[][] resets;
 
-    /** Links without faults between so many members, which are named by their index. */
+    /** Creates links without faults between the given number of members. */
     public LinkFaults(int members) {
         this.members = members;
         faults = new LinkFault[members][members];
@@ -80,40 +81,40 @@
         }
     }
 
-    /** How many members the links connect. */
+    /** Returns the number of members. */
     public int members() {
         return members;
     }
 
-    /** The faults of the link now. */
+    /** Returns the current faults of a link. */
     public LinkFault fault(int from, int to) {
         return faults[from][to];
     }
 
-    /** Sets the faults of a link one way. */
+    /** Sets the faults of a link in one direction. */
     public void set(int from, int to, LinkFault fault) {
         faults[from][to] = fault;
     }
 
-    /** Sets the faults of a link both ways. */
+    /** Sets the faults between two members in both directions. */
     public void setBothWays(int one, int other, LinkFault fault) {
         set(one, other, fault);
         set(other, one, fault);
     }
 
-    /** Cuts every link between two sides, both ways. All other links stay as they are. */
+    /** Cuts all links between members of different sides, in both directions, and keeps the others unchanged. */
     public void partition(List<Set<Integer>> sides) {
         for (int i = 0; i < sides.size(); i++) {
             for (Set<Integer> other : sides.subList(i + 1, sides.size())) {
-                sides.get(i).forEach(one -> other.forEach(another -> setBothWays(one, another, LinkFault.CUT)));
+                sides.get(i).forEach(one -> other.forEach(peer -> setBothWays(one, peer, LinkFault.CUT)));
             }
         }
     }
 
     /**
-     * Cuts one member off from all the others.
+     * Cuts the links between one member and all others.
      *
-     * @param oneWay whether only what it sends is lost
+     * @param oneWay whether to cut only the links from the member
      */
     public void isolate(int member, boolean oneWay) {
         for (int other = 0; other < members; other++) {
@@ -126,25 +127,25 @@
         }
     }
 
-    /** Removes the faults of all links; streams that were held go on. */
+    /** Removes the faults of all links; held streams resume. */
     public void heal() {
         for (LinkFault[] row : faults) {
             Arrays.fill(row, LinkFault.NONE);
         }
     }
 
-    /** Resets the connections between the two that are open now. */
+    /** Resets the open connections between two members. */
     public void reset(int one, int other) {
         resets[one][other]++;
         resets[other][one]++;
     }
 
-    /** How often the link was reset: a connection opened under a smaller number is reset. */
+    /** Returns the number of resets of a link; connections opened at a lower number must be aborted. */
     public long resets(int from, int to) {
         return resets[from][to];
     }
 
-    /** When a datagram that arrived now leaves the link: never if it is lost, twice if it is duplicated. */
+    /** Returns when a datagram that arrives now leaves the link; empty for a lost datagram, two times for a duplicate. */
     public List<Duration> datagram(Duration now, int from, int to, int size, SplittableRandom random) {
         LinkFault fault = faults[from][to];
         List<Duration> departures = new ArrayList<>(2);
@@ -153,32 +154,32 @@
         }
         int copies = random.nextDouble() < fault.duplicate() ? 2 : 1;
         for (int i = 0; i < copies; i++) {
-            Duration leaves = now.plus(fault.delay()).plus(jitter(fault, random));
+            Duration departure = now.plus(fault.delay()).plus(jitter(fault, random));
             if (fault.bytesPerSecond() > 0) {
-                Duration start = later(leaves, freeAt[from][to]);
+                Duration start = later(departure, freeAt[from][to]);
                 freeAt[from][to] = start.plus(transmissionTime(size, fault.bytesPerSecond()));
-                leaves = freeAt[from][to];
+                departure = freeAt[from][to];
             }
-            departures.add(leaves);
+            departures.add(departure);
         }
         return departures;
     }
 
     /**
-     * When bytes of a stream that arrived now leave the link, never before earlier ones; empty while the link is cut, so
-     * that the caller has to ask again later.
+     * Returns when bytes of a stream that arrive now leave the link, in order after earlier bytes. Empty while the link is
+     * cut; the proxy then has to try again later.
      */
     public Optional<Duration> stream(Duration now, int from, int to, int size, SplittableRandom random) {
         LinkFault fault = faults[from][to];
         if (fault.cut()) {
             return Optional.empty();
         }
-        Duration leaves = later(now.plus(fault.delay()).plus(jitter(fault, random)), freeAt[from][to]);
+        Duration departure = later(now.plus(fault.delay()).plus(jitter(fault, random)), freeAt[from][to]);
         if (fault.bytesPerSecond() > 0) {
-            leaves = leaves.plus(transmissionTime(size, fault.bytesPerSecond()));
+            departure = departure.plus(transmissionTime(size, fault.bytesPerSecond()));
         }
-        freeAt[from][to] = leaves;
-        return Optional.of(leaves);
+        freeAt[from][to] = departure;
+        return Optional.of(departure);
     }
 
     private static Duration jitter(LinkFault fault, SplittableRandom random) {
--- a/src/main/java/merlinlever/testing/faults/link/TcpProxy.java
+++ b/src/main/java/merlinlever/testing/faults/link/TcpProxy.java
@@ -15,17 +15,17 @@
 import merlinlever.common.net.EventLoop;
 
 /**
- * Relays TCP connections between a client and a server of a test, both ways, as {@link LinkFaults} decide: a cut link holds
- * what it is given, as TCP sees a partition, a slow one limits the bandwidth, a reset aborts open connections. There is one
- * buffer a direction, so a slow link pushes back on the sender by TCP's own flow control. All methods are called on the
- * thread of the loop.
+ * Relays TCP connections between a client and a server of a test and applies {@link LinkFaults}: a cut link holds the
+ * bytes in transit, as a partition does, a slow link limits the bandwidth, and a reset aborts open connections. Each
+ * direction has one buffer, therefore a slow link throttles the sender through TCP flow control. All methods must be
+ * called on the thread of the loop.
  */
 public final class TcpProxy implements Closeable {
 
     private static final int BUFFER_BYTES = 16 * 1024;
-    /** After this time a cut link is asked, or a failed accept tried, again. */
+    /** Delay before another check of a cut link, or before another accept after a failed one. */
     private static final Duration RETRY_DELAY = Duration.ofMillis(20);
-    /** Further connections are closed at once. */
+    /** Maximum number of open connections; further ones are closed immediately. */
     private static final int MAX_CONNECTIONS = 512;
 
     private final EventLoop loop;
@@ -38,13 +38,13 @@
     private final Set<ProxiedConnection> open = new LinkedHashSet<>();
 
     /**
-     * Listens and accepts at once.
+     * Starts listening and accepting connections.
      *
      * @param client the index of the client among the members of the links
      * @param server the index of the server
-     * @param front where the client connects to
-     * @param serverAddress where the server listens
-     * @param seed of the random faults
+     * @param front address to which the client connects
+     * @param serverAddress address on which the server listens
+     * @param seed seed of the random faults
      */
     public TcpProxy(
             EventLoop loop,
@@ -65,7 +65,7 @@
         loop.execute(this::accept);
     }
 
-    /** Where it listens. */
+    /** Returns the address on which the proxy listens. */
     public InetSocketAddress front() throws IOException {
         return (InetSocketAddress) listener.getLocalAddress();
     }
@@ -73,13 +73,13 @@
     private void accept() {
         listener.accept(null, new CompletionHandler<AsynchronousSocketChannel, Void>() {
             @Override
-            public void completed(AsynchronousSocketChannel caller, Void none) {
+            public void completed(AsynchronousSocketChannel clientChannel, Void none) {
                 accept();
                 if (open.size() >= MAX_CONNECTIONS) {
-                    closeQuietly(caller);
+                    closeQuietly(clientChannel);
                     return;
                 }
-                ProxiedConnection connection = new ProxiedConnection(caller);
+                ProxiedConnection connection = new ProxiedConnection(clientChannel);
                 open.add(connection);
                 connection.connect();
             }
@@ -93,12 +93,12 @@
         });
     }
 
-    /** The two connections between which bytes are relayed, of the client and to the server. */
+    /** A connection of the client and the matching connection to the server. */
     private final class ProxiedConnection {
         private final AsynchronousSocketChannel clientChannel;
-        /** The resets of the link when the client connected. */
+        /** Number of resets of the link at the time the client connected. */
         private final long resetsAtStart;
-        /** Null while it could not be opened. */
+        /** Null if the channel could not be opened. */
         private AsynchronousSocketChannel serverChannel;
 
         private boolean closed;
@@ -129,7 +129,7 @@
             });
         }
 
-        /** Aborts the connections if the link was reset since; returns whether they are closed. */
+        /** Aborts both connections if the link was reset after their start; returns whether they are closed. */
         boolean checkReset() {
             if (!closed && links.resets(client, server) > resetsAtStart) {
                 end(true);
@@ -156,7 +156,7 @@
             closeQuietly(channel);
         }
 
-        /** One direction: reads, waits as the link demands, writes, and begins again. */
+        /** Relays one direction in a loop: reads, waits for the delay of the link, and writes. */
         private final class Relay {
             private final AsynchronousSocketChannel from;
             private final AsynchronousSocketChannel to;
@@ -237,7 +237,7 @@
         try {
             channel.setOption(StandardSocketOptions.SO_LINGER, 0);
         } catch (IOException e) {
-            // Closed already.
+            // The channel is already closed.
         }
     }
 
@@ -245,11 +245,11 @@
         try {
             channel.close();
         } catch (IOException e) {
-            // Nothing more can be done about it.
+            // The channel is discarded in any case.
         }
     }
 
-    /** Aborts connections of a link that was reset, also those that wait for bytes. */
+    /** Aborts the connections of a link that was reset, including idle ones. */
     public void applyResets() {
         Set.copyOf(open).forEach(ProxiedConnection::checkReset);
     }
@@ -260,7 +260,7 @@
         try {
             listener.close();
         } catch (IOException e) {
-            // It accepts nothing more.
+            // A failed close leaves no connection to accept.
         }
     }
 }
--- a/src/main/java/merlinlever/testing/faults/link/UdpSwitch.java
+++ b/src/main/java/merlinlever/testing/faults/link/UdpSwitch.java
@@ -13,22 +13,22 @@
 import merlinlever.common.net.EventLoop;
 
 /**
- * Relays the datagrams between the processes of a test. The other members know a member by the address of its front here.
- * What reaches the front of a receiver from the socket of a sender is passed on from the front of the sender, so that the
- * receiver sees the address that it knows, and answers there. {@link LinkFaults} decide on loss, delay, copies and order.
- * All methods are called on the thread of the loop.
+ * Relays the datagrams between the processes of a test. Each member has a front, the address to which the others send.
+ * The switch forwards a datagram from the front of its sender, therefore the receiver sees the public address of the
+ * sender and replies to it. {@link LinkFaults} decide on loss, delay, duplicates and order. All methods must be called on
+ * the thread of the loop.
  */
 public final class UdpSwitch implements Closeable {
 
-    /** Observes each datagram as it was sent, before the links lose, delay or duplicate it. */
+    /** Observes each datagram before the links drop, delay or duplicate it. */
     public interface DatagramTap {
-        /** A member sent a datagram to another one. */
-        void sent(int from, int to, byte[] payload);
+        /** Handles a datagram from one member to another. */
+        void onSent(int from, int to, byte[] payload);
     }
 
-    /** The most datagrams that are delayed at once; others are lost. */
+    /** Maximum number of delayed datagrams; further ones are dropped. */
     private static final int MAX_DELAYED = 20_000;
-    /** The most bytes that one datagram over IPv4 carries. */
+    /** Maximum payload of a UDP datagram over IPv4. */
     private static final int MAX_PAYLOAD_BYTES = 65_507;
 
     private final EventLoop loop;
@@ -43,9 +43,9 @@
     /**
      * Opens the fronts.
      *
-     * @param addresses where the socket of each member is bound
-     * @param fronts where each member is reached by the others; port 0 takes a free one
-     * @param seed of the random faults
+     * @param addresses address to which the socket of each member is bound
+     * @param fronts address of the front of each member; port 0 selects a free port
+     * @param seed seed of the random faults
      */
     public UdpSwitch(
             EventLoop loop,
@@ -55,14 +55,14 @@
             long seed)
             throws IOException {
         if (addresses.size() != links.members() || fronts.size() != links.members()) {
-            throw new IllegalArgumentException("one real address and one front for each member of the links");
+            throw new IllegalArgumentException("the links need one socket address and one front for each member");
         }
         this.loop = loop;
         this.links = links;
         this.addresses = List.copyOf(addresses);
         random = new SplittableRandom(seed);
         for (int i = 0; i < addresses.size(); i++) {
-            indexByAddress.put(text(addresses.get(i)), i);
+            indexByAddress.put(format(addresses.get(i)), i);
         }
         try {
             for (int i = 0; i < fronts.size(); i++) {
@@ -76,38 +76,38 @@
         }
     }
 
-    private static String text(InetSocketAddress address) {
+    private static String format(InetSocketAddress address) {
         return address.getAddress().getHostAddress() + ":" + address.getPort();
     }
 
-    /** Where the member is reached by the others. */
+    /** Returns the address to which the others send datagrams for the member. */
     public InetSocketAddress front(int member) throws IOException {
         return fronts.get(member).address();
     }
 
-    /** Sets the observer of all datagrams from now on. */
+    /** Replaces the observer of datagrams. */
     public void setTap(DatagramTap observer) {
         tap = observer;
     }
 
     /**
-     * Receives all that has been sent by now. Called between two incarnations of a member, it separates their datagrams:
-     * on one machine a datagram is at the front before its sender continues.
+     * Receives all datagrams that have already been sent. A call between two runs of a member separates their datagrams,
+     * because on one machine a datagram arrives at the front before its sender continues.
      */
     public void receivePending() throws IOException {
         for (DatagramEndpoint front : fronts) {
             if (!front.receiveAll()) {
-                throw new IOException("more came to a front than it can hold");
+                throw new IOException("a front received more datagrams than it can buffer");
             }
         }
     }
 
     private void relay(int to, byte[] payload, InetSocketAddress source) {
-        Integer from = indexByAddress.get(text(source));
+        Integer from = indexByAddress.get(format(source));
         if (from == null) {
             return;
         }
-        tap.sent(from, to, payload);
+        tap.onSent(from, to, payload);
         Duration now = loop.clock().now();
         for (Duration departure : links.datagram(now, from, to, payload.length, random)) {
             if (delayed < MAX_DELAYED) {
--- a/src/main/java/merlinlever/testing/faults/link/package-info.java
+++ b/src/main/java/merlinlever/testing/faults/link/package-info.java
@@ -1,2 +1,2 @@
-/** Networks between the real processes of a test that lose, delay, hold or reset what they carry. */
+/** Proxies between the real processes of a test that inject network faults: loss, delay, partitions and resets. */
 package merlinlever.testing.faults.link;
--- a/src/main/java/merlinlever/testing/faults/process/ManagedProcesses.java
+++ b/src/main/java/merlinlever/testing/faults/process/ManagedProcesses.java
@@ -12,12 +12,12 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Real processes of a test, each with a folder and a log of its own. Only for tests: the deployed program starts no
- * process but in {@code host run}.
+ * The operating-system processes of a test, each with its own folder and log. Only for tests: in a deployment, only
+ * {@code host run} starts processes.
  */
 public final class ManagedProcesses implements Closeable {
 
-    /** How a process is started, also on a restart. */
+    /** The command, environment and working folder of a process, for its first start and its restarts. */
     public record ProcessSpec(String name, List<String> command, Map<String, String> environment, Path folder) {
         /** Copies the collections. */
         public ProcessSpec {
@@ -26,7 +26,7 @@
         }
     }
 
-    /** The state of a process as it is seen from outside. */
+    /** The state of a process as observed by the test. */
     public enum ProcessState {
         RUNNING,
         /** Stopped by SIGSTOP. */
@@ -53,11 +53,11 @@
 
     private final Map<String, ManagedProcess> processes = new LinkedHashMap<>();
 
-    /** Starts a process; its standard output and error are appended to its log. */
+    /** Starts a process and appends its standard output and error to its log. */
     public void start(ProcessSpec spec) throws IOException {
         ManagedProcess managed = processes.computeIfAbsent(spec.name(), name -> new ManagedProcess(spec));
         if (managed.process != null && managed.process.isAlive()) {
-            throw new IllegalStateException(spec.name() + " runs already");
+            throw new IllegalStateException(spec.name() + " is already running");
         }
         Files.createDirectories(spec.folder());
         ProcessBuilder builder = new ProcessBuilder(spec.command())
@@ -71,7 +71,7 @@
         managed.starts++;
     }
 
-    /** Starts a process again that has ended. */
+    /** Restarts a process that has ended. */
     public void restart(String name) throws IOException {
         start(find(name).spec);
     }
@@ -79,27 +79,27 @@
     private ManagedProcess find(String name) {
         ManagedProcess managed = processes.get(name);
         if (managed == null || managed.process == null) {
-            throw new IllegalArgumentException("no process " + name + " was started");
+            throw new IllegalArgumentException("process " + name + " has not been started");
         }
         return managed;
     }
 
-    /** The names of all processes in the order of their first start. */
+    /** Returns the names of all processes in the order of their first start. */
     public List<String> names() {
         return new ArrayList<>(processes.keySet());
     }
 
-    /** The process id, also of one that has ended. */
+    /** Returns the process id, also after the end of the process. */
     public long pid(String name) {
         return find(name).process.pid();
     }
 
-    /** How often it was started. */
+    /** Returns the number of starts of a process. */
     public int starts(String name) {
         return processes.containsKey(name) ? processes.get(name).starts : 0;
     }
 
-    /** Its state now. */
+    /** Returns the current state of a process. */
     public ProcessState state(String name) {
         ManagedProcess managed = find(name);
         if (!managed.process.isAlive()) {
@@ -108,12 +108,12 @@
         return managed.paused ? ProcessState.PAUSED : ProcessState.RUNNING;
     }
 
-    /** The file with its output. */
+    /** Returns the log file of a process. */
     public Path log(String name) {
         return find(name).spec.folder().resolve(LOG_FILE);
     }
 
-    /** Sends SIGKILL and returns once the process has ended. */
+    /** Sends SIGKILL and waits for the process to end. */
     public void kill(String name) throws InterruptedException {
         ManagedProcess managed = find(name);
         managed.process.destroyForcibly();
@@ -121,17 +121,17 @@
         managed.paused = false;
     }
 
-    /** Sends SIGTERM, after SIGCONT if it is paused, and returns whether it ended within the time. */
-    public boolean terminate(String name, Duration within) throws IOException, InterruptedException {
+    /** Sends SIGTERM, after SIGCONT to a paused process, and returns whether the process ended within the timeout. */
+    public boolean terminate(String name, Duration timeout) throws IOException, InterruptedException {
         ManagedProcess managed = find(name);
         if (managed.paused) {
             resume(name);
         }
         managed.process.destroy();
-        return managed.process.waitFor(within.toMillis(), TimeUnit.MILLISECONDS);
+        return managed.process.waitFor(timeout.toMillis(), TimeUnit.MILLISECONDS);
     }
 
-    /** Sends SIGSTOP: the process does nothing until it is resumed, and its sockets stay open. */
+    /** Sends SIGSTOP, which suspends the process until {@link #resume}; its sockets remain open. */
     public void pause(String name) throws IOException, InterruptedException {
         signal(name, "STOP");
         find(name).paused = true;
@@ -143,7 +143,7 @@
         find(name).paused = false;
     }
 
-    /** Sends SIGHUP, at which the program reads its configuration again. */
+    /** Sends SIGHUP, which makes the program reload its configuration. */
     public void hangUp(String name) throws IOException, InterruptedException {
         signal(name, "HUP");
     }
@@ -153,16 +153,16 @@
         if (!process.isAlive()) {
             return;
         }
-        // Java itself sends TERM and KILL only.
+        // The Java API can send only SIGTERM and SIGKILL.
         Process kill = new ProcessBuilder("kill", "-" + signal, Long.toString(process.pid()))
                 .inheritIO()
                 .start();
         if (!kill.waitFor(SIGNAL_TIMEOUT.toMillis(), TimeUnit.MILLISECONDS) || kill.exitValue() != 0) {
-            throw new IOException("kill -" + signal + " " + process.pid() + " did not succeed");
+            throw new IOException("kill -" + signal + " " + process.pid() + " failed or timed out");
         }
     }
 
-    /** Kills all processes that still run, also paused ones. */
+    /** Kills all processes that still run, including paused ones. */
     @Override
     public void close() {
         for (ManagedProcess managed : processes.values()) {
--- a/src/main/java/merlinlever/testing/faults/process/PortAllocator.java
+++ b/src/main/java/merlinlever/testing/faults/process/PortAllocator.java
@@ -14,57 +14,57 @@
 import java.util.Optional;
 
 /**
- * Allocates ports for processes that are started later. Each port is allocated once in the life of this process, and to no
- * other process that allocates ports meanwhile: each has a byte in a file that all share, which is locked until the process
- * ends. A port that another program uses is noticed as it cannot be bound. Thread-safe.
+ * Allocates ports for processes that start later. A port is allocated only once, also across concurrent processes that use
+ * this class: each port corresponds to a byte of a shared file, and the allocating process locks the byte until it exits.
+ * Ports in use by other programs are skipped, because binding them fails. Thread-safe.
  */
 public final class PortAllocator {
 
     private static final InetAddress LOOPBACK = InetAddress.getLoopbackAddress();
-    /** Below the ephemeral ports, so that no outgoing connection takes a port before the process listens at it. */
+    /** Below the ephemeral range, whose ports outgoing connections might take before the process listens on them. */
     private static final int FIRST_PORT = 12_000;
 
     private static final int PORTS = 18_000;
-    private static final int MAX_ROW = 1000;
-    /** Spreads processes with successive ids over the ports. */
+    private static final int MAX_CONSECUTIVE = 1000;
+    /** Spreads the search starts of processes with successive ids. */
     private static final int PORTS_PER_PROCESS = 397;
 
-    /** Where the search goes on, counted from the first port. */
+    /** Offset from the first port at which the next search starts. */
     private static int next = (int) (ProcessHandle.current().pid() * PORTS_PER_PROCESS % PORTS);
-    /** The shared file; never closed, as that would release the locks. Null before the first allocation. */
+    /** The shared file; never closed, because closing would release the locks. Null before the first allocation. */
     private static FileChannel lockFile;
-    /** Kept until the process ends; at most one for each port. */
+    /** Locks held until the process exits, at most one for each port. */
     private static final List<FileLock> LOCKS = new ArrayList<>();
 
     private PortAllocator() {}
 
-    /** Sets where the search goes on, for a test of two processes that search from the same port on. */
-    static synchronized void from(int offset) {
+    /** Sets the offset of the next search, for tests of concurrent processes. */
+    static synchronized void startSearchAt(int offset) {
         next = offset % PORTS;
     }
 
-    /** A port at which nothing listens, over TCP or UDP. */
+    /** Allocates one port that is free for TCP and UDP. */
     public static int free() throws IOException {
         return free(1);
     }
 
     /**
-     * The first of so many such ports in a row.
+     * Allocates consecutive ports that are free for TCP and UDP, and returns the first.
      *
-     * @param count 1 to {@value #MAX_ROW}
+     * @param count number of ports, 1 to {@value #MAX_CONSECUTIVE}
      */
     public static synchronized int free(int count) throws IOException {
-        if (count < 1 || count > MAX_ROW) {
-            throw new IllegalArgumentException("1 to 1000 ports, not " + count);
+        if (count < 1 || count > MAX_CONSECUTIVE) {
+            throw new IllegalArgumentException("count must be from 1 to 1000, not " + count);
         }
         openLockFile();
         for (int attempts = 0; attempts < PORTS; attempts++) {
             int first = FIRST_PORT + (next % PORTS + count <= PORTS ? next % PORTS : 0);
-            if (lockRow(first, count)) {
+            if (lockConsecutive(first, count)) {
                 return first;
             }
         }
-        throw new IOException("no " + count + " ports in a row are free");
+        throw new IOException("found no " + count + " consecutive free ports");
     }
 
     private static void openLockFile() throws IOException {
@@ -75,8 +75,8 @@
         }
     }
 
-    /** Locks the ports if all of them are free; else the search goes on behind the first that is not. */
-    private static boolean lockRow(int first, int count) throws IOException {
+    /** Locks the ports if all are free; otherwise the next search starts after the first port that is not free. */
+    private static boolean lockConsecutive(int first, int count) throws IOException {
         List<FileLock> locks = new ArrayList<>();
         for (int port = first; port < first + count; port++) {
             next = port - FIRST_PORT + 1;
--- a/src/main/java/merlinlever/testing/faults/process/package-info.java
+++ b/src/main/java/merlinlever/testing/faults/process/package-info.java
@@ -1,2 +1,2 @@
-/** Real processes of a test and the ports that they listen at. */
+/** Operating-system processes of a test and the allocation of their ports. */
 package merlinlever.testing.faults.process;
--- a/src/test/java/merlinlever/testing/faults/link/TcpProxyTest.java
+++ b/src/test/java/merlinlever/testing/faults/link/TcpProxyTest.java
@@ -72,7 +72,7 @@
     }
 
     @Test
-    void bytesPassBothWaysAndTheEndOfOneWayToo() throws Exception {
+    void relaysBothDirectionsAndHalfClose() throws Exception {
         exchange();
         client.shutdownOutput();
         assertEquals(-1, accepted.getInputStream().read());
--- a/src/test/java/merlinlever/testing/faults/process/PortAllocatorTest.java
+++ b/src/test/java/merlinlever/testing/faults/process/PortAllocatorTest.java
@@ -12,60 +12,60 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
 
-/** Two processes that ask at once, from the same place on, as two forks of the tests may. */
+/** Allocates ports in concurrent processes that start their search at the same port. */
 class PortAllocatorTest {
 
-    /** Starts where it is told, takes so many, and holds them until its input ends. */
-    public static final class PortTaker {
-        private PortTaker() {}
+    /** Allocates ports in a process of its own and holds them until its input ends. */
+    public static final class AllocatingProgram {
+        private AllocatingProgram() {}
 
         public static void main(String[] args) throws Exception {
-            PortAllocator.from(Integer.parseInt(args[0]));
-            StringBuilder taken = new StringBuilder();
+            PortAllocator.startSearchAt(Integer.parseInt(args[0]));
+            StringBuilder ports = new StringBuilder();
             for (int i = 0; i < Integer.parseInt(args[1]); i++) {
-                taken.append(PortAllocator.free()).append(' ');
+                ports.append(PortAllocator.free()).append(' ');
             }
-            System.out.println(taken);
+            System.out.println(ports);
             while (System.in.read() >= 0) {
-                // Held while the other asks.
+                // Hold the ports while the other process allocates.
             }
         }
     }
 
     @Test
-    void noPortIsGivenOutTwiceNotToAnotherProcessEither() throws Exception {
-        int each = 40;
-        List<Process> takers = new ArrayList<>();
+    void portsAreUniqueAcrossProcesses() throws Exception {
+        int portsPerProcess = 40;
+        List<Process> processes = new ArrayList<>();
         try {
             for (int i = 0; i < 2; i++) {
-                takers.add(new ProcessBuilder(
+                processes.add(new ProcessBuilder(
                                 Path.of(System.getProperty("java.home"), "bin", "java")
                                         .toString(),
                                 "-XX:TieredStopAtLevel=1",
                                 "-Xmx32m",
                                 "-cp",
                                 System.getProperty("java.class.path"),
-                                PortTaker.class.getName(),
+                                AllocatingProgram.class.getName(),
                                 "4321",
-                                "" + each)
+                                "" + portsPerProcess)
                         .redirectErrorStream(true)
                         .start());
             }
             Set<String> all = new TreeSet<>();
-            for (Process taker : takers) {
+            for (Process process : processes) {
                 String line = new java.io.BufferedReader(
-                                new java.io.InputStreamReader(taker.getInputStream(), StandardCharsets.US_ASCII))
+                                new java.io.InputStreamReader(process.getInputStream(), StandardCharsets.US_ASCII))
                         .readLine();
                 all.addAll(List.of(line.strip().split(" ")));
             }
-            assertEquals(2 * each, all.size(), "each its own: " + all);
-            int run = PortAllocator.free(30);
-            for (int port = run; port < run + 30; port++) {
-                assertTrue(all.add("" + port), port + " was given out before");
+            assertEquals(2 * portsPerProcess, all.size(), "ports were allocated twice: " + all);
+            int first = PortAllocator.free(30);
+            for (int port = first; port < first + 30; port++) {
+                assertTrue(all.add("" + port), port + " was allocated twice");
             }
         } finally {
-            for (Process taker : takers) {
-                taker.destroyForcibly().waitFor(10, TimeUnit.SECONDS);
+            for (Process process : processes) {
+                process.destroyForcibly().waitFor(10, TimeUnit.SECONDS);
             }
         }
     }
