--- a/src/main/java/merlinlever/testing/faults/audit/IncarnationAudit.java
+++ b/src/main/java/merlinlever/testing/faults/audit/IncarnationAudit.java
@@ -92,8 +92,8 @@
         history.highest = Math.max(history.highest, incarnation);
         Long last = history.lastByReceiver.put(receiver, incarnation);
         if (last != null && incarnation < last) {
-            addViolation(name + " announced incarnation " + incarnation + " to " + receiver + " after " + last + " in run "
-                    + history.run);
+            addViolation(name + " announced incarnation " + incarnation + " to " + receiver + " after " + last
+                    + " in run " + history.run);
         }
     }
 
--- a/src/main/java/merlinlever/testing/faults/audit/QuotaAudit.java
+++ b/src/main/java/merlinlever/testing/faults/audit/QuotaAudit.java
@@ -54,8 +54,8 @@
         long current = perSecond ? recentCalls.size() : concurrentCalls;
         highest = Math.max(highest, current);
         if (current > quota && violations.size() < MAX_LISTED) {
-            violations.add(current + (perSecond ? " calls within a second" : " concurrent calls") + " with call " + callId
-                    + ", over the quota of " + quota);
+            violations.add(current + (perSecond ? " calls within a second" : " concurrent calls") + " with call "
+                    + callId + ", over the quota of " + quota);
         }
     }
 
--- a/src/main/java/merlinlever/testing/faults/audit/RequestAudit.java
+++ b/src/main/java/merlinlever/testing/faults/audit/RequestAudit.java
@@ -68,7 +68,8 @@
         if (status == HttpURLConnection.HTTP_OK) {
             served++;
             if (!resultsByRequest.getOrDefault(request, Set.of()).contains(body)) {
-                addViolation("unknown result: attempt " + attempt + " of " + request + " got '" + body + "', which no execution produced");
+                addViolation("unknown result: attempt " + attempt + " of " + request + " got '" + body
+                        + "', which no execution produced");
             }
         } else if (status == HttpURLConnection.HTTP_UNAVAILABLE || status == HTTP_TOO_MANY_REQUESTS) {
             rejected++;
--- a/src/main/java/merlinlever/testing/faults/audit/RouteExportAudit.java
+++ b/src/main/java/merlinlever/testing/faults/audit/RouteExportAudit.java
@@ -80,7 +80,8 @@
                 addViolation(ms + ": table of " + from + " to " + to + " has a route that starts at "
                         + route.path().get(0));
             }
-            Optional<String> violation = check(to, route.path(), ms, (route.path().size() - 1) * leaseMs, false);
+            Optional<String> violation =
+                    check(to, route.path(), ms, (route.path().size() - 1) * leaseMs, false);
             if (violation.isPresent() && leakingSites.contains(from)) {
                 leaks++;
             } else {
--- a/src/main/java/merlinlever/testing/faults/script/FaultScript.java
+++ b/src/main/java/merlinlever/testing/faults/script/FaultScript.java
@@ -13,8 +13,8 @@
 import merlinlever.common.config.InvalidConfigFileException;
 
 /**
- * Faults in the order they are played: written in a YAML file (schema {@code faults}), drawn from a seed, or both. Decisions
- * alone: the same file and seed give the same steps, and each step can be told in one line to play it again.
+ * Reads and generates fault scripts: the steps of a YAML file (schema {@code faults}), random steps from a seed, or
+ * both. The same file and seed give the same steps, and each step can be formatted as a line of a script for a replay.
  */
 public final class FaultScript {
 
@@ -47,12 +47,12 @@
     }
 
     /**
-     * One fault at one moment. Empty lists of processes mean all of them.
+     * One fault at a time since the start. Empty lists of processes stand for all processes.
      *
-     * @param peers for a link, the other ends
-     * @param sides for a partition
-     * @param share for drop and duplicate, from 0 to 1
-     * @param bytes for slow, octets a second
+     * @param peers processes at the other ends of the affected links
+     * @param sides groups of processes that a partition separates
+     * @param share fraction of datagrams to drop or duplicate, from 0 to 1
+     * @param bytes bandwidth of a slow link, in bytes per second
      */
     public record FaultStep(
             Duration at,
@@ -66,11 +66,11 @@
             double share,
             long bytes) {
 
-        static FaultStep of(Duration at, FaultKind kind, List<Integer> who) {
-            return new FaultStep(at, kind, who, List.of(), false, List.of(), Duration.ZERO, Duration.ZERO, 0, 0);
+        static FaultStep of(Duration at, FaultKind kind, List<Integer> targets) {
+            return new FaultStep(at, kind, targets, List.of(), false, List.of(), Duration.ZERO, Duration.ZERO, 0, 0);
         }
 
-        /** In one line, as it would be written in a script. */
+        /** Returns the step as a line of a script. */
         public String toYaml() {
             StringBuilder line = new StringBuilder("{at: " + at.toMillis() + "ms, do: " + kind.wireName());
             if (!targets.isEmpty()) {
@@ -103,13 +103,13 @@
         }
     }
 
-    /** All that a file says, its drawn steps among the written ones, in the order of their moments. */
+    /** The contents of a script, with written and generated steps in order of time. */
     public record FaultPlan(int processes, long seed, Duration length, Duration settle, List<FaultStep> steps) {}
 
-    private static final Duration SETTLE = Duration.ofSeconds(10);
-    private static final Duration LONGEST = Duration.ofSeconds(3);
-    /** A drawn fault lasts at least so long, so that something comes of it. */
-    private static final Duration SHORTEST = Duration.ofMillis(200);
+    private static final Duration DEFAULT_SETTLE_TIME = Duration.ofSeconds(10);
+    private static final Duration DEFAULT_MAX_DURATION = Duration.ofSeconds(3);
+    /** Minimum duration of a generated fault, long enough for the processes to notice the fault. */
+    private static final Duration MIN_DURATION = Duration.ofMillis(200);
 
     private FaultScript() {}
 
@@ -132,7 +132,7 @@
                     config.fraction(at + ".share", 0),
                     config.number(at + ".bytes", 0));
             if (step.kind() == FaultKind.PARTITION && step.sides().isEmpty()) {
-                throw config.invalidValue(at, "a partition needs its sides");
+                throw config.invalidValue(at, "a partition needs sides");
             }
             if (step.at().compareTo(length) > 0) {
                 throw config.invalidValue(at + ".at", "after the length of " + length.toMillis() + " ms");
@@ -145,17 +145,18 @@
                     .forEach((kind, weight) ->
                             weights.put(WireNamed.parse(FaultKind.class, kind), Integer.parseInt(weight)));
             if (weights.values().stream().allMatch(weight -> weight == 0)) {
-                throw config.invalidValue("draw.kinds", "every weight is 0, so nothing can be drawn");
+                throw config.invalidValue("draw.kinds", "at least one weight must be above 0");
             }
-            steps.addAll(draw(
+            steps.addAll(generate(
                     processes,
                     seed,
                     (int) config.number("draw.count", 1),
                     length,
-                    config.duration("draw.longest", LONGEST),
+                    config.duration("draw.longest", DEFAULT_MAX_DURATION),
                     weights));
         }
-        return new FaultPlan(processes, seed, length, config.duration("settle", SETTLE), ordered(steps));
+        return new FaultPlan(
+                processes, seed, length, config.duration("settle", DEFAULT_SETTLE_TIME), sortByTime(steps));
     }
 
     private static List<Integer> members(ConfigFile config, String path, int processes)
@@ -181,69 +182,76 @@
         return List.copyOf(sides);
     }
 
-    /** By moment; steps of one moment in the order they were given, so that the order does not hang on a sort's whim. */
-    private static List<FaultStep> ordered(List<FaultStep> steps) {
+    /** Sorts steps by time; the sort is stable, therefore steps of the same time keep their order. */
+    private static List<FaultStep> sortByTime(List<FaultStep> steps) {
         List<FaultStep> sorted = new ArrayList<>(steps);
         sorted.sort(Comparator.comparing(FaultStep::at));
         return List.copyOf(sorted);
     }
 
     /**
-     * Faults drawn with the weights, each at a moment within the length and undone a while later: a kill by a restart, a
-     * pause by a resume, a leaving by a start, a power loss of all by a start of all, a link by healing it.
+     * Generates random faults with the given weights, each with a later step that ends the fault: a restart after a kill,
+     * term or power loss, a resume after a pause, and a heal after a fault of links.
      */
-    public static List<FaultStep> draw(
-            int processes, long seed, int count, Duration length, Duration longest, Map<FaultKind, Integer> weights) {
-        SplittableRandom chance = new SplittableRandom(seed);
+    public static List<FaultStep> generate(
+            int processes,
+            long seed,
+            int count,
+            Duration length,
+            Duration maxDuration,
+            Map<FaultKind, Integer> weights) {
+        SplittableRandom random = new SplittableRandom(seed);
         List<FaultKind> kinds = new ArrayList<>(weights.keySet());
         int total = weights.values().stream().mapToInt(Integer::intValue).sum();
         List<FaultStep> steps = new ArrayList<>();
         for (int i = 0; i < count; i++) {
-            int pick = chance.nextInt(total);
+            int pick = random.nextInt(total);
             FaultKind kind = kinds.get(0);
-            for (FaultKind each : kinds) {
-                pick -= weights.get(each);
+            for (FaultKind candidate : kinds) {
+                pick -= weights.get(candidate);
                 if (pick < 0) {
-                    kind = each;
+                    kind = candidate;
                     break;
                 }
             }
-            Duration at = Duration.ofMillis(chance.nextLong(Math.max(1, length.toMillis())));
-            Duration lasts = Duration.ofMillis(SHORTEST.toMillis()
-                    + chance.nextLong(Math.max(1, longest.minus(SHORTEST).toMillis())));
-            Duration undone = at.plus(lasts).compareTo(length) > 0 ? length : at.plus(lasts);
-            List<Integer> who = List.of(chance.nextInt(processes));
-            List<Integer> to = List.of((who.get(0) + 1 + chance.nextInt(Math.max(1, processes - 1))) % processes);
+            Duration at = Duration.ofMillis(random.nextLong(Math.max(1, length.toMillis())));
+            Duration duration = Duration.ofMillis(MIN_DURATION.toMillis()
+                    + random.nextLong(
+                            Math.max(1, maxDuration.minus(MIN_DURATION).toMillis())));
+            Duration end = at.plus(duration).compareTo(length) > 0 ? length : at.plus(duration);
+            List<Integer> targets = List.of(random.nextInt(processes));
+            List<Integer> peers =
+                    List.of((targets.get(0) + 1 + random.nextInt(Math.max(1, processes - 1))) % processes);
             switch (kind) {
                 case KILL, TERM -> {
-                    steps.add(FaultStep.of(at, kind, who));
-                    steps.add(FaultStep.of(undone, FaultKind.RESTART, who));
+                    steps.add(FaultStep.of(at, kind, targets));
+                    steps.add(FaultStep.of(end, FaultKind.RESTART, targets));
                 }
                 case POWER -> {
                     steps.add(FaultStep.of(at, kind, List.of()));
-                    steps.add(FaultStep.of(undone, FaultKind.RESTART, List.of()));
+                    steps.add(FaultStep.of(end, FaultKind.RESTART, List.of()));
                 }
                 case PAUSE -> {
-                    steps.add(FaultStep.of(at, kind, who));
-                    steps.add(FaultStep.of(undone, FaultKind.RESUME, who));
+                    steps.add(FaultStep.of(at, kind, targets));
+                    steps.add(FaultStep.of(end, FaultKind.RESUME, targets));
                 }
                 case ISOLATE -> {
                     steps.add(new FaultStep(
                             at,
                             kind,
-                            who,
+                            targets,
                             List.of(),
-                            chance.nextBoolean(),
+                            random.nextBoolean(),
                             List.of(),
                             Duration.ZERO,
                             Duration.ZERO,
                             0,
                             0));
-                    steps.add(FaultStep.of(undone, FaultKind.HEAL, List.of()));
+                    steps.add(FaultStep.of(end, FaultKind.HEAL, List.of()));
                 }
                 case PARTITION -> {
                     List<Integer> one = new ArrayList<>(), other = new ArrayList<>();
-                    IntStream.range(0, processes).forEach(member -> (chance.nextBoolean() ? one : other).add(member));
+                    IntStream.range(0, processes).forEach(member -> (random.nextBoolean() ? one : other).add(member));
                     if (one.isEmpty() || other.isEmpty()) {
                         (one.isEmpty() ? one : other).add((one.isEmpty() ? other : one).remove(0));
                     }
@@ -258,53 +266,53 @@
                             Duration.ZERO,
                             0,
                             0));
-                    steps.add(FaultStep.of(undone, FaultKind.HEAL, List.of()));
+                    steps.add(FaultStep.of(end, FaultKind.HEAL, List.of()));
                 }
                 case DELAY -> {
                     steps.add(new FaultStep(
                             at,
                             kind,
-                            who,
-                            to,
+                            targets,
+                            peers,
                             false,
                             List.of(),
-                            Duration.ofMillis(10 + chance.nextInt(490)),
-                            Duration.ofMillis(chance.nextInt(100)),
+                            Duration.ofMillis(10 + random.nextInt(490)),
+                            Duration.ofMillis(random.nextInt(100)),
                             0,
                             0));
-                    steps.add(FaultStep.of(undone, FaultKind.HEAL, List.of()));
+                    steps.add(FaultStep.of(end, FaultKind.HEAL, List.of()));
                 }
                 case DROP, DUPLICATE -> {
                     steps.add(new FaultStep(
                             at,
                             kind,
-                            who,
-                            to,
+                            targets,
+                            peers,
                             false,
                             List.of(),
                             Duration.ZERO,
                             Duration.ZERO,
-                            0.1 + chance.nextDouble() * 0.8,
+                            0.1 + random.nextDouble() * 0.8,
                             0));
-                    steps.add(FaultStep.of(undone, FaultKind.HEAL, List.of()));
+                    steps.add(FaultStep.of(end, FaultKind.HEAL, List.of()));
                 }
                 case SLOW -> {
                     steps.add(new FaultStep(
                             at,
                             kind,
-                            who,
-                            to,
+                            targets,
+                            peers,
                             false,
                             List.of(),
                             Duration.ZERO,
                             Duration.ZERO,
                             0,
-                            1_000 + chance.nextInt(99_000)));
-                    steps.add(FaultStep.of(undone, FaultKind.HEAL, List.of()));
+                            1_000 + random.nextInt(99_000)));
+                    steps.add(FaultStep.of(end, FaultKind.HEAL, List.of()));
                 }
-                default -> steps.add(FaultStep.of(at, kind, who));
+                default -> steps.add(FaultStep.of(at, kind, targets));
             }
         }
-        return ordered(steps);
+        return sortByTime(steps);
     }
 }
--- a/src/main/java/merlinlever/testing/faults/script/package-info.java
+++ b/src/main/java/merlinlever/testing/faults/script/package-info.java
@@ -1,2 +1,2 @@
-/** Faults in YAML and drawn from a seed, in the order they are played. */
+/** Fault scripts, read from YAML or generated from a seed. */
 package merlinlever.testing.faults.script;
--- a/src/main/java/merlinlever/testing/faults/standins/LoadGenerator.java
+++ b/src/main/java/merlinlever/testing/faults/standins/LoadGenerator.java
@@ -12,24 +12,24 @@
 import merlinlever.testing.faults.audit.RequestAudit;
 
 /**
- * Generates the HTTP load of one backend: operations arrive as a Poisson stream, and a share of them carries an
- * idempotency token. A keyed operation that did not succeed is retried with the same token at the same backend until its
- * retry window ends: after the pause that a rejection names, or after {@link #DEFAULT_RETRY_DELAY}. The result of each
- * attempt is reported to the {@link RequestAudit}. Use on the thread of the loop only.
+ * Generates the HTTP load of one backend: requests arrive as a Poisson process, and a fraction of them is keyed, that
+ * is, carries an idempotency token. A keyed request that fails is retried with the same token at the same backend until
+ * its retry window ends, after the delay in the response or after {@link #DEFAULT_RETRY_DELAY}. Each attempt is reported
+ * to a {@link RequestAudit}. Must be used only on the thread of the loop.
  */
 public final class LoadGenerator {
 
     /**
      * The load of one backend.
      *
-     * @param perSecond mean rate of new operations
-     * @param keyedShare share of operations that carry a token and must not run twice
-     * @param attemptTimeout time that one attempt allows the backend
-     * @param retryWindow time since the first attempt within which a keyed operation is retried
+     * @param perSecond mean rate of new requests
+     * @param keyedShare fraction of requests that carry a token and must not take effect twice
+     * @param attemptTimeout timeout of one attempt
+     * @param retryWindow time since the first attempt within which a keyed request is retried
      */
     public record LoadSettings(double perSecond, double keyedShare, Duration attemptTimeout, Duration retryWindow) {}
 
-    /** Added to the timeout of an attempt: many processes share the machine, and the harness may run late itself. */
+    /** Added to the timeout of an attempt, because the harness itself may be delayed on a busy machine. */
     private static final Duration TIMEOUT_TOLERANCE = Duration.ofSeconds(1);
 
     private static final Duration DEFAULT_RETRY_DELAY = Duration.ofMillis(150);
@@ -53,7 +53,7 @@
     private final SplittableRandom random;
     private boolean generating;
     private boolean backendDown;
-    /** Counts the changes of {@link #backendDown}: an attempt across a change is owed no response. */
+    /** Number of changes of {@link #backendDown}; an attempt during a change may end without a response. */
     private int backendIncarnation;
 
     private int openAttempts;
@@ -74,29 +74,29 @@
         this.random = random;
     }
 
-    /** Starts the stream of operations. */
+    /** Starts generating requests. */
     public void start() {
         generating = true;
         generateNext();
     }
 
-    /** Stops new operations; open ones are still retried to their end. */
+    /** Stops generating requests; open requests are still retried. */
     public void stop() {
         generating = false;
     }
 
-    /** Tells that the backend was killed or paused, or runs again: attempts open at or sent in that time may fail. */
+    /** Sets whether the backend is killed or paused; attempts that overlap a downtime may fail. */
     public void setBackendDown(boolean down) {
         backendDown = down;
         backendIncarnation++;
     }
 
-    /** Attempts without a result yet. */
+    /** Returns the number of attempts without a result. */
     public int openAttempts() {
         return openAttempts;
     }
 
-    /** Whether an unkeyed operation, and a keyed one too if asked for, succeeded after the given uptime. */
+    /** Returns whether an unkeyed request, and if {@code keyedToo} a keyed one, succeeded after the given uptime. */
     public boolean servedSince(Duration uptime, boolean keyedToo) {
         return isAfter(lastUnkeyedSuccess, uptime) && (!keyedToo || isAfter(lastKeyedSuccess, uptime));
     }
@@ -112,14 +112,14 @@
             new RequestAttempt(
                             keyed ? token : "look-" + token, keyed, loop.clock().uptime())
                     .send();
-            // Exponential gaps, so that no two backends get their requests in step.
+            // Exponential gaps keep the loads of the backends uncorrelated.
             double gapSeconds = -Math.log(1 - random.nextDouble()) / settings.perSecond;
             loop.schedule(Duration.ofNanos((long) (gapSeconds * NANOS_PER_SECOND)), this::generateNext);
         }
     }
 
     private final class RequestAttempt implements Connection.Handler {
-        private final String operation;
+        private final String request;
         private final boolean keyed;
         private final Duration firstSentAt;
         private final Duration sentAt = loop.clock().uptime();
@@ -130,8 +130,8 @@
         private boolean ended;
         private boolean connected;
 
-        RequestAttempt(String operation, boolean keyed, Duration firstSentAt) {
-            this.operation = operation;
+        RequestAttempt(String request, boolean keyed, Duration firstSentAt) {
+            this.request = request;
             this.keyed = keyed;
             this.firstSentAt = firstSentAt;
         }
@@ -139,12 +139,13 @@
         void send() {
             openAttempts++;
             timeout = loop.schedule(
-                    settings.attemptTimeout.plus(TIMEOUT_TOLERANCE), () -> fail("no answer by its due time", false));
+                    settings.attemptTimeout.plus(TIMEOUT_TOLERANCE),
+                    () -> fail("no response before the deadline", false));
             try {
                 connection =
                         Connection.connect(loop, backend, this, BUFFER_BYTES, BUFFER_BYTES, settings.attemptTimeout);
             } catch (IOException e) {
-                fail("no channel", true);
+                fail("the connection could not be opened", true);
                 return;
             }
             connection.write(ByteBuffer.wrap(encodeRequest().getBytes(StandardCharsets.US_ASCII)));
@@ -159,9 +160,9 @@
                     + "Req-Wait-Ms: " + settings.attemptTimeout.toMillis() + LINE_END
                     + "Req-Kb: 10\r\n"
                     + "Req-Rank: 0.5\r\n"
-                    + (keyed ? "Req-Token: " + operation + LINE_END : "")
-                    + CONTENT_LENGTH + operation.length() + HEADER_END
-                    + operation;
+                    + (keyed ? "Req-Token: " + request + LINE_END : "")
+                    + CONTENT_LENGTH + request.length() + HEADER_END
+                    + request;
         }
 
         @Override
@@ -189,8 +190,8 @@
 
         @Override
         public void onClosed(CloseReason reason) {
-            // A refused connection proves that nothing ran.
-            fail("its connection ended: " + reason, !connected);
+            // A refused connection proves that no execution started.
+            fail("the connection closed: " + reason, !connected);
         }
 
         private void complete(int status, String response, int bodyStart) {
@@ -200,9 +201,9 @@
             Duration now = end();
             Duration lateBy = now.minus(sentAt).minus(settings.attemptTimeout).minus(TIMEOUT_TOLERANCE);
             if (status > NO_RESPONSE) {
-                audit.recordResponse(operation, id, status, response.substring(bodyStart), lateBy.toMillis());
+                audit.recordResponse(request, id, status, response.substring(bodyStart), lateBy.toMillis());
             } else {
-                audit.recordNoResponse(operation, id, isFailureExcused(false), null);
+                audit.recordNoResponse(request, id, isFailureExcused(false), null);
             }
             connection.close(CloseReason.COMPLETED);
             if (status == HTTP_OK) {
@@ -217,7 +218,7 @@
                 return;
             }
             Duration now = end();
-            audit.recordNoResponse(operation, id, isFailureExcused(excused), reason);
+            audit.recordNoResponse(request, id, isFailureExcused(excused), reason);
             if (connection != null) {
                 connection.close(CloseReason.COMPLETED);
             }
@@ -247,7 +248,7 @@
             if (keyed && isInRetryWindow(now)) {
                 loop.schedule(delay, () -> {
                     if (isInRetryWindow(loop.clock().uptime())) {
-                        new RequestAttempt(operation, true, firstSentAt).send();
+                        new RequestAttempt(request, true, firstSentAt).send();
                     }
                 });
             }
--- a/src/main/java/merlinlever/testing/faults/standins/SimulatedAgent.java
+++ b/src/main/java/merlinlever/testing/faults/standins/SimulatedAgent.java
@@ -19,9 +19,9 @@
 import merlinlever.testing.faults.audit.RequestAudit;
 
 /**
- * Simulates the agent of one machine: runs the requests that its backend launches, each for the same time, and reports
- * the effect of keyed requests to the audit part of the way through. It survives its backend; a power loss ends all
- * runs. Use on the thread of the loop only.
+ * Simulates the agent of one machine: executes each request of its backend for a fixed run time and reports the effects
+ * of keyed requests to the audit during the run. Runs survive a restart of the backend; a power loss ends them. Must be
+ * used only on the thread of the loop.
  */
 public final class SimulatedAgent {
 
@@ -29,9 +29,9 @@
     private static final int WRITE_BUFFER_BYTES = 1 << 20;
     private static final int MAX_CONNECTIONS = 64;
     private static final double NANOS_PER_MILLI = 1e6;
-    /** Uptime from which the agent reports itself as warm. */
+    /** Minimum uptime at which the agent reports WARM. */
     private static final double WARM_AFTER_MS = 30_000;
-    /** The effect happens after two fifths of the run time. */
+    /** The effect occurs after two fifths of the run time. */
     private static final int EFFECT_NUMERATOR = 2;
 
     private static final int EFFECT_DENOMINATOR = 5;
@@ -51,7 +51,7 @@
 
     private final ConnectionAcceptor acceptor;
     private final Map<String, RunningRequest> runs = new LinkedHashMap<>();
-    /** Messages since the latest subscription from offset 0, for replay when it reconnects. */
+    /** Messages since the latest subscription from offset 0, for replay when the backend reconnects. */
     private final List<String> sentMessages = new ArrayList<>();
 
     private BackendConnection subscriber;
@@ -61,8 +61,8 @@
     /**
      * Starts the agent.
      *
-     * @param name names the agent to the audit
-     * @param runTime of every request
+     * @param name name of the agent in the audit
+     * @param runTime run time of every request
      * @param callsDownstream whether each run makes one downstream call before it ends
      */
     public SimulatedAgent(
@@ -109,7 +109,7 @@
         }
     }
 
-    /** Ends the power loss; the agent's uptime starts anew. */
+    /** Ends the power loss and resets the uptime of the agent. */
     public void powerOn() {
         poweredOff = false;
         startedAt = loop.clock().uptime();
@@ -189,7 +189,7 @@
             }
             subscriber = this;
             if (offset == 0) {
-                // The backend restarted: what its predecessor launched runs on, but earlier messages are not replayed.
+                // The backend restarted: earlier runs continue, but earlier messages are not replayed.
                 sentMessages.clear();
             }
             double elapsedMs = loop.clock().uptime().minus(startedAt).toNanos() / NANOS_PER_MILLI;
@@ -213,19 +213,19 @@
         if (runs.containsKey(id)) {
             return;
         }
-        String operation = new String(Base64.getDecoder().decode(payload), StandardCharsets.US_ASCII);
+        String request = new String(Base64.getDecoder().decode(payload), StandardCharsets.US_ASCII);
         audit.recordStart(id);
         RunningRequest run = new RunningRequest();
         runs.put(id, run);
         run.effect = loop.schedule(runTime.multipliedBy(EFFECT_NUMERATOR).dividedBy(EFFECT_DENOMINATOR), () -> {
             if (keyed) {
-                audit.recordEffect(operation, id, name);
+                audit.recordEffect(request, id, name);
             }
         });
         Runnable finish = () -> {
             runs.remove(id);
-            String result = "done " + operation + " by " + id;
-            audit.recordResult(operation, result);
+            String result = "done " + request + " by " + id;
+            audit.recordResult(request, result);
             sendMessage(
                     "outcome",
                     id,
--- a/src/main/java/merlinlever/testing/faults/standins/SimulatedRecordsService.java
+++ b/src/main/java/merlinlever/testing/faults/standins/SimulatedRecordsService.java
@@ -17,17 +17,17 @@
 import merlinlever.testing.faults.audit.QuotaAudit;
 
 /**
- * Simulates the records service that all backends share: answers each call after the same time and reports calls to the
- * {@link QuotaAudit}. Use on the thread of the loop only.
+ * Simulates the records service that all backends share. Answers each call after a fixed response time and reports calls
+ * to a {@link QuotaAudit}. Must be used only on the thread of the loop.
  */
 public final class SimulatedRecordsService {
 
     private static final int BUFFER_BYTES = 16 * 1024;
     private static final int MAX_CONNECTIONS = 4000;
     private static final String LINE_END = "\r\n";
-    /** Words of "UNOP id". */
+    /** Number of words in a cancellation line, "UNOP id". */
     private static final int CANCEL_WORDS = 2;
-    /** Words of "OP id, one more and the length of the body". */
+    /** Number of words in a call line: "OP", the id, an unused word and the length of the body. */
     private static final int CALL_WORDS = 4;
 
     private static final int CALL_LENGTH_WORD = 3;
@@ -38,7 +38,7 @@
     private final ConnectionAcceptor acceptor;
     private final Set<CallConnection> connections = new LinkedHashSet<>();
 
-    /** Starts the service, which answers each call after the given time. */
+    /** Starts the service. */
     public SimulatedRecordsService(EventLoop loop, InetSocketAddress address, Duration responseTime, QuotaAudit audit)
             throws IOException {
         this.loop = loop;
@@ -63,12 +63,12 @@
         return acceptor.address();
     }
 
-    /** Stops listening; open connections stay. */
+    /** Stops listening; open connections remain open. */
     public void close() {
         acceptor.close();
     }
 
-    /** Simulates an outage: stops listening and breaks all open connections. */
+    /** Simulates an outage: stops listening and closes all open connections. */
     public void lose() {
         acceptor.close();
         List.copyOf(connections).forEach(open -> open.connection.close(CloseReason.HANDLER_FAILED));
--- a/src/main/java/merlinlever/testing/faults/standins/package-info.java
+++ b/src/main/java/merlinlever/testing/faults/standins/package-info.java
@@ -1,2 +1,2 @@
-/** Simulated peers of a backend inside the test harness: its agent, the records service and the load generator. */
+/** Simulated peers of a backend in the test harness: the agent, the records service and the load generator. */
 package merlinlever.testing.faults.standins;
--- a/src/test/java/merlinlever/fleet/recovery/disk/RecoveryFileTest.java
+++ b/src/test/java/merlinlever/fleet/recovery/disk/RecoveryFileTest.java
@@ -62,23 +62,27 @@
                 }
             }
             int[] checked = {0};
-            int generated = CrashStates.parse(String.join("\n", recording) + "\n").forEachState(crashState -> {
-                int completed = 0;
-                while (completed < recordingLengths.size() && recordingLengths.get(completed) <= crashState.cut()) {
-                    completed++;
-                }
-                Optional<PersistedState> last =
-                        completed == 0 ? Optional.empty() : Optional.of(written.get(completed - 1));
-                Optional<PersistedState> next = completed < written.size() ? Optional.of(written.get(completed)) : last;
-                LoadedState loaded = readAfter(crashState, root.resolve("state"));
-                String where = "power loss after line " + crashState.cut() + ", " + crashState.description();
-                assertEquals(Optional.empty(), loaded.corruption(), where);
-                assertTrue(
-                        loaded.state().equals(last)
-                                || (loaded.state().isPresent() && loaded.state().equals(next)),
-                        where + ": " + loaded);
-                checked[0]++;
-            });
+            int generated = CrashStates.parse(String.join("\n", recording) + "\n")
+                    .forEachState(crashState -> {
+                        int completed = 0;
+                        while (completed < recordingLengths.size()
+                                && recordingLengths.get(completed) <= crashState.cut()) {
+                            completed++;
+                        }
+                        Optional<PersistedState> last =
+                                completed == 0 ? Optional.empty() : Optional.of(written.get(completed - 1));
+                        Optional<PersistedState> next =
+                                completed < written.size() ? Optional.of(written.get(completed)) : last;
+                        LoadedState loaded = readAfter(crashState, root.resolve("state"));
+                        String where = "power loss after line " + crashState.cut() + ", " + crashState.description();
+                        assertEquals(Optional.empty(), loaded.corruption(), where);
+                        assertTrue(
+                                loaded.state().equals(last)
+                                        || (loaded.state().isPresent()
+                                                && loaded.state().equals(next)),
+                                where + ": " + loaded);
+                        checked[0]++;
+                    });
             assertEquals(generated, checked[0]);
             assertTrue(generated >= 600, "states: " + generated);
         } finally {
--- a/src/test/java/merlinlever/testing/faults/AgentFaultsTest.java
+++ b/src/test/java/merlinlever/testing/faults/AgentFaultsTest.java
@@ -113,11 +113,11 @@
                 1,
                 FaultScript.FaultKind.KILL,
                 1);
-        List<FaultScript.FaultStep> drawn = FaultScript.draw(
+        List<FaultScript.FaultStep> drawn = FaultScript.generate(
                 3, 0x2026L, 4, Duration.ofSeconds(6), Duration.ofSeconds(2), new java.util.TreeMap<>(kinds));
         assertEquals(
                 drawn,
-                FaultScript.draw(
+                FaultScript.generate(
                         3, 0x2026L, 4, Duration.ofSeconds(6), Duration.ofSeconds(2), new java.util.TreeMap<>(kinds)));
         Path root = Files.createTempDirectory("merlinlever-faults");
         try (AgentFleet fleet = new AgentFleet(root, 3, AgentFleet.sameJava(), 0x2026L)) {
--- a/src/test/java/merlinlever/testing/faults/disk/CrashStatesTest.java
+++ b/src/test/java/merlinlever/testing/faults/disk/CrashStatesTest.java
@@ -97,8 +97,9 @@
                                 CrashStates.MalformedRecordingException.class,
                                 () -> CrashStates.parse("open a\nscribble a\n"))
                         .getMessage());
-        assertThrows(CrashStates.MalformedRecordingException.class, () -> CrashStates.parse("write a 0 " + b64("x") + "\n")
-                .forEachState(state -> {}));
+        assertThrows(
+                CrashStates.MalformedRecordingException.class,
+                () -> CrashStates.parse("write a 0 " + b64("x") + "\n").forEachState(state -> {}));
     }
 
     /**
@@ -141,10 +142,12 @@
                         boolean asNext = done < after.size() && agrees(opened, after.get(done));
                         assertTrue(
                                 asBefore || asNext,
-                                "cut " + state.cut() + " (" + state.description() + ") after " + done + " notes returned");
+                                "cut " + state.cut() + " (" + state.description() + ") after " + done
+                                        + " notes returned");
                     }
                 } catch (IOException | InstanceLedger.CorruptLedgerException e) {
-                    throw new AssertionError("cut " + state.cut() + " (" + state.description() + "): " + e.getMessage(), e);
+                    throw new AssertionError(
+                            "cut " + state.cut() + " (" + state.description() + "): " + e.getMessage(), e);
                 } finally {
                     TestDirectories.remove(folder);
                 }
@@ -185,7 +188,8 @@
     void aStartThatWasCutOffWhileItToldWhatWasThereEmptiesNothing() throws Exception {
         String before = "folder f 0\nopen a\nwrite a 0 eA==\nforce a\nsync\n";
         for (String cutOff : List.of("folder f 2\n", "folder f 2\nhad a eA==\n", "folder f 2\nhad a eA==\nhad b e")) {
-            for (CrashStates.CrashState state : CrashStates.parse(before + cutOff).finalStates()) {
+            for (CrashStates.CrashState state :
+                    CrashStates.parse(before + cutOff).finalStates()) {
                 assertEquals(Set.of("a"), state.files().keySet(), cutOff + state.description());
             }
         }
--- a/src/test/java/merlinlever/testing/faults/link/LinkFaultsTest.java
+++ b/src/test/java/merlinlever/testing/faults/link/LinkFaultsTest.java
@@ -27,7 +27,8 @@
         links.set(
                 0,
                 1,
-                new LinkFaults.LinkFault(0, 0, Duration.ofMillis(delayMs), Duration.ofMillis(jitterMs), bytesPerSecond, false));
+                new LinkFaults.LinkFault(
+                        0, 0, Duration.ofMillis(delayMs), Duration.ofMillis(jitterMs), bytesPerSecond, false));
         Duration last = Duration.ZERO;
         long carried = 0;
         for (int i = 0; i < 50; i++) {
--- a/src/test/java/merlinlever/testing/faults/script/FaultScriptTest.java
+++ b/src/test/java/merlinlever/testing/faults/script/FaultScriptTest.java
@@ -20,7 +20,7 @@
 
 class FaultScriptTest {
 
-    private static final Map<FaultScript.FaultKind, Integer> ALL = new EnumMap<>(Map.of(
+    private static final Map<FaultScript.FaultKind, Integer> WEIGHTS = new EnumMap<>(Map.of(
             FaultScript.FaultKind.KILL,
             2,
             FaultScript.FaultKind.PAUSE,
@@ -40,24 +40,24 @@
             FaultScript.FaultKind.TERM,
             1));
 
-    /** Drawn steps lie within the length, in order, and each fault is undone by a later step of its kind. */
+    /** Checks that generated steps are in order, stay within the length and end every fault. */
     @Property(tries = 300, seed = "24")
-    void drawnFaultsAreInOrderAndEachIsUndone(
+    void generatedFaultsAreInOrderAndEnd(
             @ForAll long seed,
             @ForAll @IntRange(min = 1, max = 9) int processes,
             @ForAll @IntRange(min = 1, max = 40) int count) {
         Duration length = Duration.ofSeconds(20);
         List<FaultScript.FaultStep> steps =
-                FaultScript.draw(processes, seed, count, length, Duration.ofSeconds(3), ALL);
+                FaultScript.generate(processes, seed, count, length, Duration.ofSeconds(3), WEIGHTS);
         assertEquals(
                 steps,
-                FaultScript.draw(processes, seed, count, length, Duration.ofSeconds(3), ALL),
-                "the same seed, the same steps");
+                FaultScript.generate(processes, seed, count, length, Duration.ofSeconds(3), WEIGHTS),
+                "the same seed must give the same steps");
         assertEquals(2 * count, steps.size());
         for (int i = 0; i < steps.size(); i++) {
             FaultScript.FaultStep step = steps.get(i);
             assertTrue(!step.at().isNegative() && step.at().compareTo(length) <= 0, step.toYaml());
-            assertTrue(i == 0 || steps.get(i - 1).at().compareTo(step.at()) <= 0, "in order");
+            assertTrue(i == 0 || steps.get(i - 1).at().compareTo(step.at()) <= 0, "steps are out of order");
             step.targets().forEach(member -> assertTrue(member >= 0 && member < processes, step.toYaml()));
             if (step.kind() == FaultScript.FaultKind.PARTITION) {
                 assertEquals(
@@ -65,16 +65,16 @@
                 assertTrue(step.sides().stream().noneMatch(List::isEmpty) || processes == 1, step.toYaml());
             }
         }
-        long undoing = steps.stream()
+        long endingSteps = steps.stream()
                 .filter(step -> List.of(
                                 FaultScript.FaultKind.RESTART, FaultScript.FaultKind.RESUME, FaultScript.FaultKind.HEAL)
                         .contains(step.kind()))
                 .count();
-        assertEquals(count, undoing, "each drawn fault is undone");
+        assertEquals(count, endingSteps, "each generated fault must end");
     }
 
     @Test
-    void aScriptIsReadWithItsDrawnStepsAndAFaultyOneIsToldByLine() throws Exception {
+    void readsGeneratedStepsAndReportsTheLineOfAnError() throws Exception {
         Path file = Files.createTempFile("faults", ".yaml");
         try {
             Files.writeString(
@@ -100,22 +100,22 @@
                             .orElseThrow()
                             .kind());
             Files.writeString(file, "processes: 3\nlength: 5s\nsteps:\n  - {at: 1s, do: explode}\n");
-            String told = assertThrows(
+            String message = assertThrows(
                             InvalidConfigFileException.class, () -> ConfigFile.read(file, ConfigSchema.FAULTS))
                     .getMessage();
-            assertTrue(told.startsWith(file + ":4: steps.0.do: "), told);
+            assertTrue(message.startsWith(file + ":4: steps.0.do: "), message);
             Files.writeString(file, "processes: 3\nlength: 5s\nsteps:\n  - {at: 1s, do: kill, who: [3]}\n");
-            told = assertThrows(
+            message = assertThrows(
                             InvalidConfigFileException.class,
                             () -> FaultScript.read(ConfigFile.read(file, ConfigSchema.FAULTS)))
                     .getMessage();
-            assertTrue(told.contains("process 3 of 3 (they are numbered from 0)"), told);
+            assertTrue(message.contains("process 3 of 3 (they are numbered from 0)"), message);
             Files.writeString(file, "processes: 3\nlength: 5s\nsteps:\n  - {at: 9s, do: heal}\n");
-            told = assertThrows(
+            message = assertThrows(
                             InvalidConfigFileException.class,
                             () -> FaultScript.read(ConfigFile.read(file, ConfigSchema.FAULTS)))
                     .getMessage();
-            assertTrue(told.contains("after the length"), told);
+            assertTrue(message.contains("after the length"), message);
         } finally {
             Files.delete(file);
         }
