--- a/src/main/java/merlinlever/testing/faults/FaultHarness.java
+++ b/src/main/java/merlinlever/testing/faults/FaultHarness.java
@@ -239,10 +239,10 @@
             CrashStates states = CrashStates.parse(Files.readString(record, StandardCharsets.US_ASCII));
             // Where all was forced, what a kill leaves is all that a power loss may leave.
             List<CrashStates.CrashState> last = states.finalStates();
-            if (states.folder() != null && !last.isEmpty()) {
+            if (states.directory() != null && !last.isEmpty()) {
                 CrashStates.CrashState state = last.get(chance.nextInt(last.size()));
-                StateRestorer.restore(Path.of(states.folder()), state);
-                log.accept("laid " + states.folder() + " as after a power loss: " + state.description());
+                StateRestorer.restore(Path.of(states.directory()), state);
+                log.accept("laid " + states.directory() + " as after a power loss: " + state.description());
             }
         } catch (CrashStates.MalformedRecordingException e) {
             throw new IOException(record + ": " + e.getMessage(), e);
--- a/src/main/java/merlinlever/testing/faults/audit/IncarnationAudit.java
+++ b/src/main/java/merlinlever/testing/faults/audit/IncarnationAudit.java
@@ -23,7 +23,7 @@
         private long previousHighest = NONE;
         /** The highest incarnation of the current run. */
         private long highest = NONE;
-        /** The last incarnation of the current run for each receiver; datagrams to one receiver are recorded in order. */
+        /** The last incarnation of the current run by receiver; datagrams to one receiver are recorded in order. */
         private final Map<String, Long> lastByReceiver = new TreeMap<>();
 
         private int run;
--- a/src/main/java/merlinlever/testing/faults/audit/RouteExportAudit.java
+++ b/src/main/java/merlinlever/testing/faults/audit/RouteExportAudit.java
@@ -16,8 +16,9 @@
 
 /**
  * Checks the tables and calls between sites against the restrictions that the origins of the routes publish. A table or
- * call reaches a site only if the restrictions allowed it within the last leases (one for each hop), no path has a loop,
- * no request takes effect twice, and every request ends. The rules are implemented independently of the program.
+ * call reaches a site only if the restrictions allowed the transfer within the last leases (one for each hop), no path
+ * has a loop, no request takes effect twice, and every request ends. The rules are implemented independently
+ * of the program.
  */
 public final class RouteExportAudit {
 
--- a/src/main/java/merlinlever/testing/faults/disk/CrashStates.java
+++ b/src/main/java/merlinlever/testing/faults/disk/CrashStates.java
@@ -14,25 +14,25 @@
 import java.util.zip.CRC32C;
 
 /**
- * The states that a power loss may leave of one folder, made from the record of what passed through its seam
- * ({@link merlinlever.common.storage.RecordingStateDirectory}). Decisions alone: lines in, states out.
+ * Enumerates the possible states of a directory after a crash, from the file operations that a
+ * {@link merlinlever.common.storage.RecordingStateDirectory} recorded. Performs no I/O.
  *
- * <p>What the disk is taken to do, after each operation of the record in turn:
+ * <p>The disk model, applied after each recorded operation:
  * <ul>
- * <li>a kill keeps all that was written (the kernel has it);</li>
- * <li>a power loss keeps of a file what was forced; of the writes after its last force it may keep the first few, the last
- * of them torn in half, or the last of them alone (reordered: a hole reads as zeros);</li>
- * <li>names made, renamed or taken away since the folder was last forced may be there in the order they were made, up to
- * any point; a rename returns forced, as the seam says.</li>
+ * <li>a kill of the process keeps all writes, because the kernel holds them;</li>
+ * <li>a power loss keeps the forced contents of a file; of the writes since the last force, it may keep the first ones,
+ * the next one torn in half, or only the last one (reordered: the gap reads as zeros);</li>
+ * <li>a power loss keeps any prefix of the files created and deleted since the directory was last forced; a rename is
+ * durable when the operation returns.</li>
  * </ul>
- * Where two of these states are the same, the state is given once.
+ * Identical states are returned once.
  */
 public final class CrashStates {
 
-    /** One state: what the folder holds, and how it came to be. */
+    /** One state of the directory: the number of operations before the crash, its kind and the remaining files. */
     public record CrashState(int cut, String description, SortedMap<String, byte[]> files) {}
 
-    /** A line of the record that is not one the seam writes. */
+    /** Reports an invalid line of a recording. */
     public static final class MalformedRecordingException extends Exception {
         private static final long serialVersionUID = 1;
 
@@ -41,17 +41,21 @@
         }
     }
 
-    private sealed interface RecordedOperation permits Begin, Had, Open, Write, Force, Truncate, Rename, Delete, Sync {}
+    private sealed interface RecordedOperation
+            permits Begin, ExistingFile, Open, Write, Force, Truncate, Rename, Delete, Sync {}
 
-    /** The folder was opened anew (a start of the process): what it holds is told by the lines that follow. */
-    /** @param had files that were there, each told by a line of its own after this one */
-    private record Begin(String folder, int had) implements RecordedOperation {}
+    /**
+     * The process opened the directory; the following lines list its files.
+     *
+     * @param fileCount number of existing files, each listed by a line of its own
+     */
+    private record Begin(String directory, int fileCount) implements RecordedOperation {}
 
-    private record Had(String name, byte[] octets) implements RecordedOperation {}
+    private record ExistingFile(String name, byte[] bytes) implements RecordedOperation {}
 
     private record Open(String name) implements RecordedOperation {}
 
-    private record Write(String name, long offset, byte[] octets) implements RecordedOperation {}
+    private record Write(String name, long offset, byte[] bytes) implements RecordedOperation {}
 
     private record Force(String name) implements RecordedOperation {}
 
@@ -63,24 +67,29 @@
 
     private record Sync() implements RecordedOperation {}
 
-    /** A file apart from its names. */
+    /** The contents of a file, independent of its name. */
     private static final class FileContents {
         byte[] current;
         byte[] forced;
         final List<Write> unforced = new ArrayList<>();
 
-        FileContents(byte[] octets) {
-            current = octets;
-            forced = octets;
+        FileContents(byte[] bytes) {
+            current = bytes;
+            forced = bytes;
         }
     }
 
-    /** What the folder's names go through, kept till the folder is forced. */
-    private record DirectoryChange(String name, String to, FileContents made) {}
+    /**
+     * A creation, rename or deletion that has not been forced yet.
+     *
+     * @param to new name of a renamed file, else null
+     * @param created contents of a created file, else null
+     */
+    private record DirectoryChange(String name, String to, FileContents created) {}
 
     private static final Base64.Decoder BASE64 = Base64.getDecoder();
-    /** Files larger than this in a record are refused, as the harness lays every state whole. */
-    private static final long MOST = 64 << 20;
+    /** Maximum file size in bytes, because a test restores complete states. */
+    private static final long MAX_FILE_BYTES = 64 << 20;
 
     private final List<RecordedOperation> ops;
     private final List<String> lines;
@@ -90,29 +99,31 @@
         this.lines = lines;
     }
 
-    /** Of the lines of a record; a last line without its end (the process was killed while telling it) is left out. */
-    public static CrashStates parse(String record) throws MalformedRecordingException {
-        List<String> lines = new ArrayList<>(Arrays.asList(record.split("\n", -1)));
+    /** Parses the lines of a recording; ignores an incomplete last line, which a kill of the process may leave. */
+    public static CrashStates parse(String recording) throws MalformedRecordingException {
+        List<String> lines = new ArrayList<>(Arrays.asList(recording.split("\n", -1)));
         lines.remove(lines.size() - 1);
         List<RecordedOperation> ops = new ArrayList<>();
         for (int i = 0; i < lines.size(); i++) {
-            ops.add(op(i + 1, lines.get(i)));
+            ops.add(parseLine(i + 1, lines.get(i)));
         }
-        return whole(ops, lines);
+        return withoutIncompleteStarts(ops, lines);
     }
 
-    /** Without starts that ended before all was told that was there: they changed nothing, and what was before stands. */
-    private static CrashStates whole(List<RecordedOperation> all, List<String> allLines) {
+    /** Omits starts that ended before they had listed all existing files; these starts changed no file. */
+    private static CrashStates withoutIncompleteStarts(List<RecordedOperation> all, List<String> allLines) {
         List<RecordedOperation> ops = new ArrayList<>();
         List<String> lines = new ArrayList<>();
         for (int i = 0; i < all.size(); i++) {
-            int told = 0;
+            int listed = 0;
             if (all.get(i) instanceof Begin begin) {
-                while (told < begin.had() && i + told + 1 < all.size() && all.get(i + told + 1) instanceof Had) {
-                    told++;
+                while (listed < begin.fileCount()
+                        && i + listed + 1 < all.size()
+                        && all.get(i + listed + 1) instanceof ExistingFile) {
+                    listed++;
                 }
-                if (told < begin.had()) {
-                    i += told;
+                if (listed < begin.fileCount()) {
+                    i += listed;
                     continue;
                 }
             }
@@ -122,13 +133,13 @@
         return new CrashStates(ops, lines);
     }
 
-    private static RecordedOperation op(int at, String line) throws MalformedRecordingException {
+    private static RecordedOperation parseLine(int lineNumber, String line) throws MalformedRecordingException {
         String[] words = line.split(" ", -1);
         try {
             RecordedOperation op =
                     switch (words[0]) {
                         case "folder" -> words.length == 3 ? new Begin(words[1], Integer.parseInt(words[2])) : null;
-                        case "had" -> words.length == 3 ? new Had(words[1], BASE64.decode(words[2])) : null;
+                        case "had" -> words.length == 3 ? new ExistingFile(words[1], BASE64.decode(words[2])) : null;
                         case "open" -> words.length == 2 ? new Open(words[1]) : null;
                         case "write" -> words.length == 4
                                 ? new Write(words[1], Long.parseLong(words[2]), BASE64.decode(words[3]))
@@ -139,160 +150,160 @@
                         case "delete" -> words.length == 2 ? new Delete(words[1]) : null;
                         case "sync" -> words.length == 1 ? new Sync() : null;
                         default -> throw new MalformedRecordingException(
-                                at,
+                                lineNumber,
                                 "'" + words[0]
                                         + "' is none of folder, had, open, write, force, truncate, rename, delete, sync");
                     };
             if (op == null) {
                 throw new MalformedRecordingException(
-                        at, "'" + words[0] + "' with " + (words.length - 1) + " words after it");
+                        lineNumber, "'" + words[0] + "' with " + (words.length - 1) + " arguments");
             }
             return op;
         } catch (IllegalArgumentException e) {
-            throw new MalformedRecordingException(at, "not a number or not base64: " + e.getMessage());
+            throw new MalformedRecordingException(lineNumber, "invalid number or base64: " + e.getMessage());
         }
     }
 
-    /** The folder that the record is of, as its last start named it; null where no line names it. */
-    public String folder() {
-        String folder = null;
+    /** Returns the path of the recorded directory at its last start; null without a start. */
+    public String directory() {
+        String directory = null;
         for (RecordedOperation op : ops) {
             if (op instanceof Begin begin) {
-                folder = begin.folder();
+                directory = begin.directory();
             }
         }
-        return folder;
+        return directory;
     }
 
-    /** The states after the last operation of the record: what the folder may hold after a power loss now. */
+    /** Returns the states after the last operation of the recording. */
     public List<CrashState> finalStates() throws MalformedRecordingException {
         List<CrashState> last = new ArrayList<>();
         forEachState(last::add, ops.size());
         return last;
     }
 
-    /** Operations in the record: the cuts are 0 (before the first) to this. */
+    /** Returns the number of operations; a crash can occur after 0 to this many operations. */
     public int operations() {
         return ops.size();
     }
 
-    /** The line of an operation, numbered from 1, for telling a failing state. */
+    /** Returns the recorded line of an operation, numbered from 1. */
     public String line(int number) {
         return lines.get(number - 1);
     }
 
-    /** Every state, cut by cut, each once; returns how many. */
+    /** Passes each distinct state to the consumer in order of operations; returns the number of states. */
     public int forEachState(Consumer<CrashState> into) throws MalformedRecordingException {
         return forEachState(into, -1);
     }
 
-    /** Of one cut alone where it is not below 0. */
+    /** Restricts the states to those after {@code onlyCut} operations, unless negative. */
     private int forEachState(Consumer<CrashState> into, int onlyCut) throws MalformedRecordingException {
         Map<String, FileContents> names = new LinkedHashMap<>();
         Map<String, FileContents> forcedNames = new LinkedHashMap<>();
-        List<DirectoryChange> namings = new ArrayList<>();
+        List<DirectoryChange> changes = new ArrayList<>();
         Set<String> seen = new HashSet<>();
-        int[] told = {0};
+        int[] count = {0};
         Consumer<CrashState> once = state -> {
             if ((onlyCut < 0 || state.cut() == onlyCut) && seen.add(key(state.files()))) {
-                told[0]++;
+                count[0]++;
                 into.accept(state);
             }
         };
-        states(0, names, forcedNames, namings, once);
+        states(0, names, forcedNames, changes, once);
         for (int i = 0; i < ops.size(); i++) {
-            apply(i + 1, ops.get(i), names, forcedNames, namings);
-            states(i + 1, names, forcedNames, namings, once);
+            apply(i + 1, ops.get(i), names, forcedNames, changes);
+            states(i + 1, names, forcedNames, changes, once);
         }
-        return told[0];
+        return count[0];
     }
 
     private static void apply(
-            int at,
+            int lineNumber,
             RecordedOperation op,
             Map<String, FileContents> names,
             Map<String, FileContents> forcedNames,
-            List<DirectoryChange> namings)
+            List<DirectoryChange> changes)
             throws MalformedRecordingException {
         if (op instanceof Begin) {
             names.clear();
             forcedNames.clear();
-            namings.clear();
-        } else if (op instanceof Had had) {
-            FileContents node = new FileContents(had.octets());
-            names.put(had.name(), node);
-            forcedNames.put(had.name(), node);
+            changes.clear();
+        } else if (op instanceof ExistingFile existing) {
+            FileContents node = new FileContents(existing.bytes());
+            names.put(existing.name(), node);
+            forcedNames.put(existing.name(), node);
         } else if (op instanceof Open open) {
             if (!names.containsKey(open.name())) {
                 FileContents node = new FileContents(new byte[0]);
                 names.put(open.name(), node);
-                namings.add(new DirectoryChange(open.name(), null, node));
+                changes.add(new DirectoryChange(open.name(), null, node));
             }
         } else if (op instanceof Write write) {
-            FileContents node = node(at, names, write.name());
-            if (write.offset() < 0 || write.offset() + write.octets().length > MOST) {
-                throw new MalformedRecordingException(at, "a write outside 0 to " + MOST + " octets");
+            FileContents node = node(lineNumber, names, write.name());
+            if (write.offset() < 0 || write.offset() + write.bytes().length > MAX_FILE_BYTES) {
+                throw new MalformedRecordingException(lineNumber, "write outside 0 to " + MAX_FILE_BYTES + " bytes");
             }
-            node.current = written(node.current, write);
+            node.current = withWrite(node.current, write);
             node.unforced.add(write);
         } else if (op instanceof Force force) {
-            FileContents node = node(at, names, force.name());
+            FileContents node = node(lineNumber, names, force.name());
             node.forced = node.current;
             node.unforced.clear();
         } else if (op instanceof Truncate truncate) {
-            FileContents node = node(at, names, truncate.name());
+            FileContents node = node(lineNumber, names, truncate.name());
             node.current =
                     Arrays.copyOf(node.current, (int) Math.max(0, Math.min(truncate.length(), node.current.length)));
             node.forced = node.current;
             node.unforced.clear();
         } else if (op instanceof Rename rename) {
-            names.put(rename.to(), node(at, names, rename.from()));
+            names.put(rename.to(), node(lineNumber, names, rename.from()));
             names.remove(rename.from());
-            namings.add(new DirectoryChange(rename.from(), rename.to(), null));
-            named(forcedNames, namings, namings.size());
+            changes.add(new DirectoryChange(rename.from(), rename.to(), null));
+            force(forcedNames, changes, changes.size());
         } else if (op instanceof Delete delete) {
             if (names.remove(delete.name()) != null) {
-                namings.add(new DirectoryChange(delete.name(), null, null));
+                changes.add(new DirectoryChange(delete.name(), null, null));
             }
         } else {
-            named(forcedNames, namings, namings.size());
+            force(forcedNames, changes, changes.size());
         }
     }
 
-    private static FileContents node(int at, Map<String, FileContents> names, String name)
+    private static FileContents node(int lineNumber, Map<String, FileContents> names, String name)
             throws MalformedRecordingException {
         FileContents node = names.get(name);
         if (node == null) {
-            throw new MalformedRecordingException(at, name + " is not there");
+            throw new MalformedRecordingException(lineNumber, "file " + name + " does not exist");
         }
         return node;
     }
 
-    /** The first so many namings are on the disk, and leave the list. */
-    private static void named(Map<String, FileContents> forcedNames, List<DirectoryChange> namings, int first) {
-        for (DirectoryChange naming : namings.subList(0, first)) {
-            name(forcedNames, naming);
+    /** Makes the first changes durable and removes them from the list. */
+    private static void force(Map<String, FileContents> forcedNames, List<DirectoryChange> changes, int count) {
+        for (DirectoryChange change : changes.subList(0, count)) {
+            apply(forcedNames, change);
         }
-        namings.subList(0, first).clear();
+        changes.subList(0, count).clear();
     }
 
-    private static void name(Map<String, FileContents> into, DirectoryChange naming) {
-        if (naming.made() != null) {
-            into.put(naming.name(), naming.made());
-        } else if (naming.to() != null) {
-            FileContents node = into.remove(naming.name());
+    private static void apply(Map<String, FileContents> directory, DirectoryChange change) {
+        if (change.created() != null) {
+            directory.put(change.name(), change.created());
+        } else if (change.to() != null) {
+            FileContents node = directory.remove(change.name());
             if (node != null) {
-                into.put(naming.to(), node);
+                directory.put(change.to(), node);
             }
         } else {
-            into.remove(naming.name());
+            directory.remove(change.name());
         }
     }
 
-    private static byte[] written(byte[] before, Write write) {
-        int end = (int) (write.offset() + write.octets().length);
+    private static byte[] withWrite(byte[] before, Write write) {
+        int end = (int) (write.offset() + write.bytes().length);
         byte[] after = Arrays.copyOf(before, Math.max(before.length, end));
-        System.arraycopy(write.octets(), 0, after, (int) write.offset(), write.octets().length);
+        System.arraycopy(write.bytes(), 0, after, (int) write.offset(), write.bytes().length);
         return after;
     }
 
@@ -300,63 +311,63 @@
             int cut,
             Map<String, FileContents> names,
             Map<String, FileContents> forcedNames,
-            List<DirectoryChange> namings,
+            List<DirectoryChange> changes,
             Consumer<CrashState> into) {
-        into.accept(new CrashState(cut, "kill: all that was written", contents(names, true, null, null)));
-        into.accept(new CrashState(cut, "power: what was forced", contents(forcedNames, false, null, null)));
+        into.accept(new CrashState(cut, "kill: all writes", contents(names, true, null, null)));
+        into.accept(new CrashState(cut, "power: forced contents", contents(forcedNames, false, null, null)));
         for (Map.Entry<String, FileContents> entry : names.entrySet()) {
             FileContents node = entry.getValue();
             List<Write> writes = node.unforced;
             for (int k = 0; k < writes.size(); k++) {
                 byte[] kept = node.forced;
                 for (Write write : writes.subList(0, k)) {
-                    kept = written(kept, write);
+                    kept = withWrite(kept, write);
                 }
                 if (k > 0) {
                     into.accept(new CrashState(
                             cut,
                             "power: " + entry.getKey() + " keeps " + k + " of " + writes.size()
-                                    + " writes since its force",
+                                    + " writes since its last force",
                             contents(names, false, node, kept)));
                 }
                 Write next = writes.get(k);
-                if (next.octets().length > 1) {
-                    Write half = new Write(
-                            next.name(), next.offset(), Arrays.copyOf(next.octets(), next.octets().length / 2));
+                if (next.bytes().length > 1) {
+                    Write half =
+                            new Write(next.name(), next.offset(), Arrays.copyOf(next.bytes(), next.bytes().length / 2));
                     into.accept(new CrashState(
                             cut,
                             "power: " + entry.getKey() + " keeps " + k + " of " + writes.size()
-                                    + " writes since its force and half of the next",
-                            contents(names, false, node, written(kept, half))));
+                                    + " writes since its last force and half of the next",
+                            contents(names, false, node, withWrite(kept, half))));
                 }
             }
             if (writes.size() > 1) {
                 Write last = writes.get(writes.size() - 1);
                 into.accept(new CrashState(
                         cut,
-                        "power: " + entry.getKey() + " keeps the last of its writes since its force alone",
-                        contents(names, false, node, written(node.forced, last))));
+                        "power: " + entry.getKey() + " keeps only the last of its writes since its last force",
+                        contents(names, false, node, withWrite(node.forced, last))));
             }
         }
-        for (int k = 1; k <= namings.size(); k++) {
+        for (int k = 1; k <= changes.size(); k++) {
             Map<String, FileContents> named = new LinkedHashMap<>(forcedNames);
-            for (DirectoryChange naming : namings.subList(0, k)) {
-                name(named, naming);
+            for (DirectoryChange change : changes.subList(0, k)) {
+                apply(named, change);
             }
             into.accept(new CrashState(
                     cut,
-                    "power: " + k + " of " + namings.size() + " changes of names since the folder's force",
+                    "power: " + k + " of " + changes.size() + " directory changes since the last force",
                     contents(named, false, null, null)));
         }
     }
 
-    /** Each file as it is now, or as forced but for one that holds what is given (none where odd is null). */
+    /** Returns the current or forced contents of each file, with other contents for {@code replaced} unless null. */
     private static SortedMap<String, byte[]> contents(
-            Map<String, FileContents> names, boolean now, FileContents odd, byte[] octets) {
+            Map<String, FileContents> names, boolean current, FileContents replaced, byte[] bytes) {
         SortedMap<String, byte[]> files = new TreeMap<>();
         for (Map.Entry<String, FileContents> entry : names.entrySet()) {
             FileContents node = entry.getValue();
-            files.put(entry.getKey(), now ? node.current : node == odd ? octets : node.forced);
+            files.put(entry.getKey(), current ? node.current : node == replaced ? bytes : node.forced);
         }
         return files;
     }
--- a/src/main/java/merlinlever/testing/faults/disk/StateRestorer.java
+++ b/src/main/java/merlinlever/testing/faults/disk/StateRestorer.java
@@ -6,15 +6,15 @@
 import java.util.Map;
 import java.util.stream.Stream;
 
-/** Lays a state that a power loss may leave into a folder, in place of the files that were there; folders in it stay. */
+/** Replaces the files of a directory by a crash state; keeps the lock file and subdirectories. */
 public final class StateRestorer {
 
     private StateRestorer() {}
 
     public static void restore(Path folder, CrashStates.CrashState state) throws IOException {
         Files.createDirectories(folder);
-        try (Stream<Path> there = Files.list(folder)) {
-            for (Path file : (Iterable<Path>) there::iterator) {
+        try (Stream<Path> existing = Files.list(folder)) {
+            for (Path file : (Iterable<Path>) existing::iterator) {
                 if (Files.isRegularFile(file) && !file.getFileName().toString().equals("lock")) {
                     Files.delete(file);
                 }
--- a/src/main/java/merlinlever/testing/faults/disk/package-info.java
+++ b/src/main/java/merlinlever/testing/faults/disk/package-info.java
@@ -1,2 +1,2 @@
-/** States that a power loss may leave of a folder, made from the record of its seam: decisions, and laying one down. */
+/** Computes the states of a directory after a power loss from recorded file operations, and restores a state. */
 package merlinlever.testing.faults.disk;
--- a/src/main/java/merlinlever/testing/faults/script/FaultScript.java
+++ b/src/main/java/merlinlever/testing/faults/script/FaultScript.java
@@ -190,8 +190,8 @@
     }
 
     /**
-     * Generates random faults with the given weights, each with a later step that ends the fault: a restart after a kill,
-     * term or power loss, a resume after a pause, and a heal after a fault of links.
+     * Generates random faults with the given weights, each with a later step that ends the fault: a restart after a
+     * kill, term or power loss, a resume after a pause, and a heal after a fault of links.
      */
     public static List<FaultStep> generate(
             int processes,
--- a/src/main/java/merlinlever/testing/faults/standins/LoadGenerator.java
+++ b/src/main/java/merlinlever/testing/faults/standins/LoadGenerator.java
@@ -14,8 +14,8 @@
 /**
  * Generates the HTTP load of one backend: requests arrive as a Poisson process, and a fraction of them is keyed, that
  * is, carries an idempotency token. A keyed request that fails is retried with the same token at the same backend until
- * its retry window ends, after the delay in the response or after {@link #DEFAULT_RETRY_DELAY}. Each attempt is reported
- * to a {@link RequestAudit}. Must be used only on the thread of the loop.
+ * its retry window ends, after the delay in the response or after {@link #DEFAULT_RETRY_DELAY}. Each attempt is
+ * reported to a {@link RequestAudit}. Must be used only on the thread of the loop.
  */
 public final class LoadGenerator {
 
--- a/src/main/java/merlinlever/testing/faults/standins/SimulatedRecordsService.java
+++ b/src/main/java/merlinlever/testing/faults/standins/SimulatedRecordsService.java
@@ -17,8 +17,8 @@
 import merlinlever.testing.faults.audit.QuotaAudit;
 
 /**
- * Simulates the records service that all backends share. Answers each call after a fixed response time and reports calls
- * to a {@link QuotaAudit}. Must be used only on the thread of the loop.
+ * Simulates the records service that all backends share. Answers each call after a fixed response time and reports
+ * calls to a {@link QuotaAudit}. Must be used only on the thread of the loop.
  */
 public final class SimulatedRecordsService {
 
--- a/src/test/java/merlinlever/testing/faults/disk/CrashStatesTest.java
+++ b/src/test/java/merlinlever/testing/faults/disk/CrashStatesTest.java
@@ -44,22 +44,22 @@
     }
 
     @Test
-    void whatWasNotForcedMayBeLostTornOrReordered() throws CrashStates.MalformedRecordingException {
+    void unforcedWritesMayBeLostTornOrReordered() throws CrashStates.MalformedRecordingException {
         String record = "had a " + b64("old") + "\nopen b\nwrite b 0 " + b64("one") + "\nwrite b 3 " + b64("two")
                 + "\nforce b\nwrite b 6 " + b64("three") + "\nwrite b 11 " + b64("four") + "\n";
         List<CrashStates.CrashState> states = CrashStates.parse(record).finalStates();
-        // A kill keeps all; a power loss before the folder was forced may not even keep the name b.
+        // A kill keeps all writes; a power loss may lose file b, because the directory was not forced.
         assertTrue(holds(states, 7, Map.of("a", "old", "b", "onetwothreefour")));
         assertTrue(holds(states, 7, Map.of("a", "old")));
-        assertTrue(holds(states, 7, Map.of("a", "old", "b", "onetwo")), "what was forced");
-        assertTrue(holds(states, 7, Map.of("a", "old", "b", "onetwothree")), "the first of two");
-        assertTrue(holds(states, 7, Map.of("a", "old", "b", "onetwoth")), "the next torn");
-        assertTrue(holds(states, 7, Map.of("a", "old", "b", "onetwo\0\0\0\0\0four")), "the last alone");
-        // Never more than was written, never something that was not.
+        assertTrue(holds(states, 7, Map.of("a", "old", "b", "onetwo")), "forced writes only");
+        assertTrue(holds(states, 7, Map.of("a", "old", "b", "onetwothree")), "the first of two unforced writes");
+        assertTrue(holds(states, 7, Map.of("a", "old", "b", "onetwoth")), "a torn write");
+        assertTrue(holds(states, 7, Map.of("a", "old", "b", "onetwo\0\0\0\0\0four")), "only the last write");
+        // No state contains data that was never written.
         assertTrue(states.stream()
                 .noneMatch(state -> state.files().containsKey("b")
                         && new String(state.files().get("b"), StandardCharsets.US_ASCII).contains("fourthree")));
-        // Each state once, over the whole record too.
+        // The complete recording yields each state once.
         states = all(record);
         assertEquals(
                 states.size(),
@@ -74,7 +74,7 @@
     }
 
     @Test
-    void aRenameReturnsForcedAndADeleteNeedsTheFolderForced() throws CrashStates.MalformedRecordingException {
+    void renamesAreDurableAndDeletesNeedAForcedDirectory() throws CrashStates.MalformedRecordingException {
         String record = "had x " + b64("1") + "\nopen x.new\nwrite x.new 0 " + b64("2")
                 + "\nforce x.new\nrename x.new x\n" + "delete x\n";
         List<CrashStates.CrashState> states = all(record);
@@ -85,12 +85,12 @@
                         .filter(state -> state.cut() == 5)
                         .noneMatch(state -> state.files().containsKey("x")
                                 && new String(state.files().get("x"), StandardCharsets.US_ASCII).equals("1")),
-                "a rename is not undone");
-        assertTrue(holds(last, 6, Map.of()) && holds(last, 6, Map.of("x", "2")), "the delete may or may not be there");
+                "a rename must be durable");
+        assertTrue(holds(last, 6, Map.of()) && holds(last, 6, Map.of("x", "2")), "an unforced delete may be lost");
     }
 
     @Test
-    void aLineThatIsNotTheSeamsIsToldWithItsNumber() {
+    void reportsTheLineNumberOfAnInvalidLine() {
         assertEquals(
                 "line 2: 'scribble' is none of folder, had, open, write, force, truncate, rename, delete, sync",
                 assertThrows(
@@ -103,24 +103,24 @@
     }
 
     /**
-     * The agent's ledger after every state that a power loss may leave of a day of notes: it opens, and each instance is
-     * as it was last noted before the cut, or as the note then under way says; never older, never spoilt.
+     * Checks that the ledger opens in every crash state and holds, for each instance, the last returned record or the
+     * record that was being written.
      */
     @Test
-    void theLedgerBelievesNothingThatWasNotForcedAndLosesNothingThatWas() throws Exception {
+    void ledgerRecoversReturnedRecordsFromEveryCrashState() throws Exception {
         Path root = Files.createTempDirectory("merlinlever-crash");
         try {
             List<String> lines = new ArrayList<>();
-            SplittableRandom chance = new SplittableRandom(0x5eed_2026L);
+            SplittableRandom random = new SplittableRandom(0x5eed_2026L);
             List<Map<String, InstanceLedger.InstanceRecord>> after = new ArrayList<>();
             List<Integer> returnedAt = new ArrayList<>();
             Map<String, InstanceLedger.InstanceRecord> now = new java.util.TreeMap<>();
             try (InstanceLedger ledger = new InstanceLedger(new RecordingStateDirectory(
                     new FileStateDirectory(root.resolve("day")), TestDirectories.into(lines), "day"))) {
                 for (int i = 0; i < 24; i++) {
-                    String instance = "i-" + chance.nextInt(4);
+                    String instance = "i-" + random.nextInt(4);
                     InstanceLedger.InstanceRecord noted = new InstanceLedger.InstanceRecord(
-                            chance.nextBoolean(), "t" + i, chance.nextInt(1, 99_999), i);
+                            random.nextBoolean(), "t" + i, random.nextInt(1, 99_999), i);
                     ledger.note(instance, noted);
                     now.put(instance, noted);
                     after.add(new java.util.TreeMap<>(now));
@@ -129,7 +129,7 @@
             }
             CrashStates states = CrashStates.parse(String.join("\n", lines) + "\n");
             int[] checked = {0};
-            int told = states.forEachState(state -> {
+            int count = states.forEachState(state -> {
                 int done = 0;
                 while (done < returnedAt.size() && returnedAt.get(done) <= state.cut()) {
                     done++;
@@ -152,8 +152,8 @@
                     TestDirectories.remove(folder);
                 }
             });
-            assertEquals(told, checked[0]);
-            assertTrue(told > 50, "states laid: " + told);
+            assertEquals(count, checked[0]);
+            assertTrue(count > 50, "states restored: " + count);
         } finally {
             TestDirectories.remove(root);
         }
@@ -169,7 +169,7 @@
     }
 
     @Test
-    void aStateLaidIsReadBackAsItWas() throws Exception {
+    void restoringAStateReplacesTheFiles() throws Exception {
         Path folder = Files.createTempDirectory("merlinlever-lay");
         try {
             Files.writeString(folder.resolve("stale"), "gone");
@@ -183,9 +183,9 @@
         }
     }
 
-    /** A process killed while it tells what it found has touched nothing: what stood before stands. */
+    /** Guards against data loss through a start that was killed while listing the existing files. */
     @Test
-    void aStartThatWasCutOffWhileItToldWhatWasThereEmptiesNothing() throws Exception {
+    void incompleteStartsKeepEarlierState() throws Exception {
         String before = "folder f 0\nopen a\nwrite a 0 eA==\nforce a\nsync\n";
         for (String cutOff : List.of("folder f 2\n", "folder f 2\nhad a eA==\n", "folder f 2\nhad a eA==\nhad b e")) {
             for (CrashStates.CrashState state :
