--- a/src/test/java/merlinlever/testing/faults/disk/CrashStatesTest.java
+++ b/src/test/java/merlinlever/testing/faults/disk/CrashStatesTest.java
@@ -121,7 +121,7 @@
                     String instance = "i-" + random.nextInt(4);
                     InstanceLedger.InstanceRecord noted = new InstanceLedger.InstanceRecord(
                             random.nextBoolean(), "t" + i, random.nextInt(1, 99_999), i);
-                    ledger.note(instance, noted);
+                    ledger.update(instance, noted);
                     now.put(instance, noted);
                     after.add(new java.util.TreeMap<>(now));
                     returnedAt.add(lines.size());
@@ -161,7 +161,7 @@
 
     private static boolean agrees(InstanceLedger ledger, Map<String, InstanceLedger.InstanceRecord> noted) {
         for (int i = 0; i < 4; i++) {
-            if (!ledger.of("i-" + i).equals(noted.getOrDefault("i-" + i, InstanceLedger.InstanceRecord.NOTHING))) {
+            if (!ledger.recordOf("i-" + i).equals(noted.getOrDefault("i-" + i, InstanceLedger.InstanceRecord.NONE))) {
                 return false;
             }
         }
