--- a/src/test/java/merlinlever/testing/faults/PowerLossTest.java
+++ b/src/test/java/merlinlever/testing/faults/PowerLossTest.java
@@ -89,11 +89,11 @@
             power.begin();
             List<String> found = new ArrayList<>();
             for (int i = 0;
-                    i < 8 && found.stream().noneMatch(breach -> breach.startsWith("effect twice: operation "));
+                    i < 8 && found.stream().noneMatch(breach -> breach.startsWith("duplicate effect: request "));
                     i++) {
                 found.addAll(power.play(PowerLoss.PowerLossKind.ALL, i).breaches());
             }
-            assertTrue(found.stream().anyMatch(breach -> breach.startsWith("effect twice: operation ")), "" + found);
+            assertTrue(found.stream().anyMatch(breach -> breach.startsWith("duplicate effect: request ")), "" + found);
         } finally {
             TestDirectories.remove(root);
         }
@@ -102,23 +102,23 @@
     @Test
     void theAuditNamesEachBreach() {
         RequestAudit rules = new RequestAudit();
-        rules.launched("t1");
-        rules.effect("op", "t1", "b-0");
+        rules.recordStart("t1");
+        rules.recordEffect("op", "t1", "b-0");
         rules.recordResult("op", "done");
-        rules.answered("op", "t1", 200, "done", -5);
-        rules.unanswered("op", "t2", true, "killed");
-        assertEquals(List.of(), rules.breaches());
-        rules.effect("op", "t3", "b-1");
-        rules.answered("op", "t3", 200, "else", 4);
-        rules.answered("op", "t1", 503, "", -5);
-        rules.unanswered("op", "t4", false, "its connection ended");
+        rules.recordResponse("op", "t1", 200, "done", -5);
+        rules.recordNoResponse("op", "t2", true, "killed");
+        assertEquals(List.of(), rules.violations());
+        rules.recordEffect("op", "t3", "b-1");
+        rules.recordResponse("op", "t3", 200, "else", 4);
+        rules.recordResponse("op", "t1", 503, "", -5);
+        rules.recordNoResponse("op", "t4", false, "its connection ended");
         assertEquals(
                 List.of(
-                        "effect twice: operation op, by t1 at b-0 and t3 at b-1",
-                        "late: try t3 of op was answered 200 4 ms after its due time",
-                        "no run made it: try t3 of op was satisfied with 'else'",
-                        "pushed back after it began: try t1 of op",
-                        "lost: try t4 of op, its connection ended"),
-                rules.breaches());
+                        "duplicate effect: request op, by attempts t1 at b-0 and t3 at b-1",
+                        "late response: attempt t3 of op got status 200 4 ms after its deadline",
+                        "unknown result: attempt t3 of op got 'else', which no execution produced",
+                        "rejected after the start of its execution: attempt t1 of op",
+                        "no response: attempt t4 of op, its connection ended"),
+                rules.violations());
     }
 }
