--- a/src/main/java/merlinlever/host/state/InstanceStatus.java
+++ b/src/main/java/merlinlever/host/state/InstanceStatus.java
@@ -18,7 +18,7 @@
  * @param rejections number of rejections since the start, by reason
  * @param aborted requests that failed since the start
  * @param quotas shares of the fleet quotas that the instance holds
- * @param view quorum status of the instance, or null without quorum
+ * @param view quorum status of the instance, or null if the instance has none
  */
 public record InstanceStatus(
         @JsonProperty("phase") String phaseName,
