--- a/src/test/java/merlinlever/testing/faults/AgentFaultsTest.java
+++ b/src/test/java/merlinlever/testing/faults/AgentFaultsTest.java
@@ -51,12 +51,12 @@
             fleet.links(links -> links.isolate(2, false));
             List<String> during = agreed(harness, Duration.ofMillis(1));
             long until = System.nanoTime() + SETTLE.toNanos();
-            while (during.stream().noneMatch(breach -> breach.startsWith("a-0 holds a-2"))
+            while (during.stream().noneMatch(breach -> breach.startsWith("a-0 reports a-2"))
                     && System.nanoTime() < until) {
                 Thread.sleep(300);
                 during = harness.audit();
             }
-            assertTrue(during.stream().anyMatch(breach -> breach.startsWith("a-0 holds a-2")), "" + during);
+            assertTrue(during.stream().anyMatch(breach -> breach.startsWith("a-0 reports a-2")), "" + during);
             FaultHarness.HarnessResult after =
                     harness.play(new FaultScript.FaultPlan(3, 0x24L, Duration.ZERO, SETTLE, List.of()));
             assertTrue(after.passed(), after.told());
