--- a/src/test/java/merlinlever/dns/server/DnsServerTest.java
+++ b/src/test/java/merlinlever/dns/server/DnsServerTest.java
@@ -119,7 +119,8 @@
         assertEquals(Rcode.BADTIME, signatureError(signed(update, key())));
         clockOffsetSeconds = 0;
         byte[] signedUpdate = signed(update, key());
-        assertEquals(Rcode.FORMERR, new Message(exchange(Arrays.copyOf(signedUpdate, signedUpdate.length - 20))).getRcode());
+        assertEquals(
+                Rcode.FORMERR, new Message(exchange(Arrays.copyOf(signedUpdate, signedUpdate.length - 20))).getRcode());
         assertEquals(8, zone.zone().serial());
     }
 
